--- a/tests/components/test_policy.py
+++ b/tests/components/test_policy.py
@@ -1,4 +1,4 @@
-"""Check how much a host keeps for a time without the log."""
+"""Test how much a host keeps for an outage of the log."""
 
 import dataclasses
 import unittest
@@ -19,32 +19,34 @@
 
 
 class DrawPolicyTest(unittest.TestCase):
-    """Let a host fall silent or be cut off with a stock of tokens."""
+    """Test the stock of a host without requests or without the log."""
 
     def setUp(self) -> None:
-        """Take the chosen policy."""
+        """Create the adaptive policy."""
         self.policy = DrawPolicy(
             kind=BudgetPolicy.ADAPTIVE, horizon_s=2.0, fixed_draw_tokens=50
         )
 
-    def test_stock_outlasts_seconds_without_a_request(self) -> None:
-        """See no request for a few seconds, then lose the log.
+    def test_stock_is_kept_for_seconds_without_a_request(self) -> None:
+        """Guard against a refusal after seconds without a request and a lost log.
 
         A host that gave its stock back in such seconds refused its next request
-        with plenty free. It keeps a stock within twice its share for longer, and
-        gives back at once what is scarce or was unused for long.
+        with plenty free. It now keeps a stock within twice its share for longer,
+        and gives back immediately what is scarce or was unused for long.
         """
-        self.assertEqual(self.policy.count_surplus(PLENTIFUL, STOCK), 0)
+        self.assertEqual(self.policy.compute_surplus(PLENTIFUL, STOCK), 0)
         scarce = dataclasses.replace(PLENTIFUL, free=10_000)
-        self.assertEqual(self.policy.count_surplus(scarce, STOCK), STOCK)
+        self.assertEqual(self.policy.compute_surplus(scarce, STOCK), STOCK)
         unused = dataclasses.replace(PLENTIFUL, idle_s=20.0)
-        self.assertEqual(self.policy.count_surplus(unused, STOCK), STOCK)
+        self.assertEqual(self.policy.compute_surplus(unused, STOCK), STOCK)
 
-    def test_stock_is_filled_up_long_before_it_is_used_up(self) -> None:
-        """Lose the log at any moment between two draws.
+    def test_stock_is_refilled_once_half_is_used(self) -> None:
+        """Guard against an almost empty stock when the log is lost between draws.
 
-        Filled up near its end, the stock was nearly empty then. Half of it is
-        always left.
+        It was almost empty when a host refilled it only near its end. At least
+        half of it must always be left.
         """
-        stock = self.policy.size_stock(PLENTIFUL)
-        self.assertGreaterEqual(self.policy.count_low_mark(PLENTIFUL), stock // 2)
+        stock = self.policy.compute_stock(PLENTIFUL)
+        self.assertGreaterEqual(
+            self.policy.compute_low_water_mark(PLENTIFUL), stock // 2
+        )
--- a/trefoilstage/components/budget/account.py
+++ b/trefoilstage/components/budget/account.py
@@ -1,4 +1,4 @@
-"""Hold one host's draws on one account; pure, with no clock."""
+"""Manage one host's draws on one account; pure, with no clock."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
@@ -7,14 +7,17 @@
 from trefoilstage.ledger.records import Draw, Return, Settle
 from trefoilstage.ledger.state import DrawState, DrawStatus
 
-RATE_DECAY = 0.8
+DEMAND_RATE_DECAY = 0.8
 
-Draws = Mapping[str, DrawState]
+DrawStates = Mapping[str, DrawState]
 
 
 @dataclass(kw_only=True, slots=True)
 class AccountPool:
-    """Open, use, retire and drop a host's draws on one account."""
+    """Open, use, retire and drop a host's draws on one account.
+
+    `number` is that of the ledger stream that stores the account.
+    """
 
     account: str
     number: int
@@ -46,7 +49,7 @@
         return next((draw for draw in self.list_draws() if draw.draw == name), None)
 
     def open_draw(self, witness: str) -> DrawPool:
-        """Return the current draw, a new one if there is none."""
+        """Return the current draw; open one if there is none."""
         if self.current is None:
             self.n_opened += 1
             self.current = DrawPool(
@@ -57,13 +60,13 @@
         return self.current
 
     def retire(self) -> None:
-        """Take the current draw out of use; its running requests go on."""
+        """Take the current draw out of use; its running requests continue."""
         if self.current is not None:
             self.current.retire()
             self.retired.append(self.current)
             self.current = None
 
-    def check_current(self, draws: Draws) -> None:
+    def retire_if_closed(self, draws: DrawStates) -> None:
         """Retire the current draw once the log has sealed or closed it."""
         draw = self.current
         if draw is None:
@@ -74,9 +77,9 @@
         if state is None or state.status is not DrawStatus.OPEN:
             self.retire()
 
-    def count_usable(self, draws: Draws) -> int:
+    def count_usable(self, draws: DrawStates) -> int:
         """Return what new requests may hold."""
-        self.check_current(draws)
+        self.retire_if_closed(draws)
         draw = self.current
         if draw is None:
             return 0
@@ -84,7 +87,7 @@
         return draw.count_usable(state.amount) if state is not None else 0
 
     def make_draw(self, *, amount: int, minimum: int, witness: str) -> Draw:
-        """Return the record that asks for more."""
+        """Return the record that asks the log for more."""
         draw = self.open_draw(witness)
         draw.n_drawing += 1
         return Draw(
@@ -96,8 +99,8 @@
             opens=not draw.granted,
         )
 
-    def note_draw(self, name: str, amount: int, draws: Draws) -> None:
-        """Take the verdict on a draw, an amount of 0 when it was rejected."""
+    def note_draw(self, name: str, amount: int, draws: DrawStates) -> None:
+        """Apply the verdict on a draw; the amount is 0 if the draw was rejected."""
         draw = self.find_draw(name)
         if draw is None:
             return
@@ -106,16 +109,16 @@
         draw.granted = draw.granted or amount > 0 or name in draws
 
     def make_return(self, amount: int) -> Return | None:
-        """Return the record that gives unheld tokens back."""
+        """Return the record that gives unheld tokens back, or None."""
         draw = self.current
         if draw is None or draw.returning or amount <= 0:
             return None
         draw.returning = amount
         return Return(draw=draw.draw, amount=amount)
 
-    def make_settlements(self, draws: Draws) -> Iterator[tuple[DrawPool, Settle]]:
-        """Yield what the log has still to be told, one record a draw."""
-        self.check_current(draws)
+    def make_settlements(self, draws: DrawStates) -> Iterator[tuple[DrawPool, Settle]]:
+        """Yield the settlements that the log still lacks, one for each draw."""
+        self.retire_if_closed(draws)
         for draw in self.list_draws():
             state = draws.get(draw.draw)
             if state is None or draw.settling:
@@ -124,17 +127,17 @@
             if record is not None:
                 yield draw, record
 
-    def drop_closed(self, draws: Draws) -> None:
-        """Forget the draws that the log has closed and no request uses."""
+    def drop_closed(self, draws: DrawStates) -> None:
+        """Drop the retired draws that the log has closed and no request uses."""
         self.retired = [
             draw
             for draw in self.retired
             if draw.holds or draw.n_drawing or draw.draw in draws
         ]
 
-    def note_interval(self, interval_s: float) -> None:
-        """Turn the demand since the last call into a rate that decays."""
+    def update_demand_rate(self, interval_s: float) -> None:
+        """Update the decaying demand rate from the demand since the last call."""
         rate = self.demand / interval_s
         self.n_idle = 0 if self.demand else self.n_idle + 1
-        self.demand_rate = max(rate, self.demand_rate * RATE_DECAY)
+        self.demand_rate = max(rate, self.demand_rate * DEMAND_RATE_DECAY)
         self.demand = 0.0
--- a/trefoilstage/components/budget/accounts.py
+++ b/trefoilstage/components/budget/accounts.py
@@ -1,4 +1,4 @@
-"""Read an account as this host has folded it."""
+"""Read accounts from the ledgers that this host has folded."""
 
 from trefoilstage.blackboard import Blackboard
 from trefoilstage.components.budget.account import AccountPool
@@ -7,32 +7,32 @@
 from trefoilstage.const import BUDGET_ACCOUNT_PREFIX, LEDGER_STREAM_PREFIX
 from trefoilstage.ledger.state import AccountState, DrawState, LedgerState
 
-SETTLE_S = 0.5
+SETTLE_INTERVAL_S = 0.5
 
 
 class Accounts:
-    """Look up what the ledgers and the configuration say of an account."""
+    """Look up accounts in the ledgers and the configuration."""
 
     def __init__(self, *, blackboard: Blackboard) -> None:
         self._blackboard = blackboard
 
     def get_ledger(self, pool: AccountPool) -> LedgerState:
-        """Return the ledger that holds an account."""
+        """Return the ledger that stores an account."""
         return self._blackboard.ledgers[pool.number]
 
     def is_log_reachable(self, pool: AccountPool) -> bool:
-        """Tell whether this host still reads the account's ledger."""
+        """Return whether this host still reads the account's ledger."""
         return self._blackboard.streams[
             f"{LEDGER_STREAM_PREFIX}{pool.number}"
         ].reachable
 
     def get_account(self, pool: AccountPool) -> AccountState:
-        """Return an account, an empty one if the ledger does not know it."""
+        """Return an account, an empty one if the ledger does not have it."""
         accounts = self.get_ledger(pool).accounts
         return accounts.get(pool.account) or AccountState()
 
     def get_preference(self, pool: AccountPool) -> Preference:
-        """Return which error hurts the account's owner more."""
+        """Return which error the account's owner wants to avoid."""
         name = pool.account.removeprefix(BUDGET_ACCOUNT_PREFIX)
         budget = self._blackboard.configuration.budgets.get(name)
         return budget.preference if budget else Preference.AVOID_OVERSPEND
@@ -42,15 +42,15 @@
         return pool.count_usable(self.get_ledger(pool).draws)
 
     def count_unspent(self, pool: AccountPool) -> int:
-        """Return what all draws on an account may still give back."""
+        """Return the unspent amount of all draws on an account."""
         return sum(
             draw.amount - draw.spent
             for draw in self.get_ledger(pool).draws.values()
             if draw.account == pool.account
         )
 
-    def list_foreign(self, pool: AccountPool) -> list[DrawState]:
-        """Return the draws that other hosts have on an account."""
+    def list_peer_draws(self, pool: AccountPool) -> list[DrawState]:
+        """Return the draws of peer hosts on an account."""
         return [
             draw
             for draw in self.get_ledger(pool).draws.values()
@@ -58,16 +58,16 @@
             and draw.holder != self._blackboard.incarnation
         ]
 
-    def describe(self, pool: AccountPool) -> Situation:
-        """Return an account as the policy sees it."""
+    def take_snapshot(self, pool: AccountPool) -> Situation:
+        """Return what the policy needs to know of an account."""
         account = self.get_account(pool)
         return Situation(
             paid=account.paid,
             free=account.free,
             drawn=pool.drawn,
             held=pool.held,
-            demand_rate=max(pool.demand_rate, pool.demand / SETTLE_S),
-            idle_s=pool.n_idle * SETTLE_S,
+            demand_rate=max(pool.demand_rate, pool.demand / SETTLE_INTERVAL_S),
+            idle_s=pool.n_idle * SETTLE_INTERVAL_S,
             n_hosts=max(1, len(self._blackboard.config.hosts)),
             returnable=pool.returnable,
             preference=self.get_preference(pool),
--- a/trefoilstage/components/budget/controller.py
+++ b/trefoilstage/components/budget/controller.py
@@ -1,4 +1,4 @@
-"""Hold tokens for requests from this host's draws."""
+"""Reserve tokens for requests from this host's draws."""
 
 import asyncio
 from collections.abc import Sequence
@@ -8,11 +8,11 @@
 
 from trefoilstage.blackboard import Blackboard
 from trefoilstage.components.budget.account import AccountPool
-from trefoilstage.components.budget.accounts import SETTLE_S, Accounts
-from trefoilstage.components.budget.drawing import Drawing
+from trefoilstage.components.budget.accounts import SETTLE_INTERVAL_S, Accounts
+from trefoilstage.components.budget.draw_requester import DrawRequester
 from trefoilstage.components.budget.messages import Starved, StarvedReply
 from trefoilstage.components.budget.peers import BudgetPeers
-from trefoilstage.components.budget.policy import RETURN_WAIT_S, DrawPolicy
+from trefoilstage.components.budget.policy import PEER_RETURN_WAIT_S, DrawPolicy
 from trefoilstage.components.budget.pool import NO_WITNESS, DrawPool, Hold
 from trefoilstage.components.budget.witness_client import WitnessClient
 from trefoilstage.components.log_client.streams import Streams
@@ -25,14 +25,17 @@
 from trefoilstage.timer import TimerService
 
 CLOSE_POLL_S = 0.05
-RETURN_S = 0.1
-ASKED_S = 1.0
+RETURN_INTERVAL_S = 0.1
+KEEP_RETURNING_S = 1.0
 RETRY_AFTER_WITNESS_S = 2.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Reservation:
-    """Name the tokens held for one request."""
+    """Identify the tokens held for one request.
+
+    `number` is that of the hold within its draw.
+    """
 
     request: str
     account: str
@@ -43,14 +46,14 @@
     targets: tuple[str, ...] = ()
 
     def allows(self, url: str) -> bool:
-        """Tell whether the request may be sent to a target's address."""
-        # A target that joined after the hold was made is unknown to the
-        # witness: what ran there would be given out a second time.
+        """Return whether the request may be sent to a target's address."""
+        # The witness does not know a target that joined after the hold was made.
+        # After a loss of this host, tokens spent there would be granted again.
         return not self.targets or url in self.targets
 
 
 class BudgetController(Service):
-    """Draw, hold, settle and give back tokens."""
+    """Draw, hold, settle and return tokens."""
 
     def __init__(
         self,
@@ -59,7 +62,7 @@
         streams: Streams,
         server: PeerServer,
         accounts: Accounts,
-        drawing: Drawing,
+        drawing: DrawRequester,
         peers: BudgetPeers,
         witnesses: WitnessClient,
         timer: TimerService,
@@ -77,20 +80,22 @@
         self._policy = policy
         self._admission_wait_s = admission_wait_s
         self._pools: dict[str, AccountPool] = {}
-        server.register(Starved, self._answer_starved)
+        server.register(Starved, self._handle_starved)
 
     async def on_start(self) -> None:
-        """Start settling."""
+        """Start the timers of settlements and returns."""
         self._unsubscribe = self._timer.subscribe(
-            name="settle", interval_s=SETTLE_S, callback=self._tick
+            name="settle", interval_s=SETTLE_INTERVAL_S, callback=self._tick
         )
 
         self._unsubscribe_return = self._timer.subscribe(
-            name="return", interval_s=RETURN_S, callback=self._return_asked
+            name="return",
+            interval_s=RETURN_INTERVAL_S,
+            callback=self._return_to_starved_peers,
         )
 
     async def on_stop(self) -> None:
-        """Stop settling."""
+        """Stop the timers of settlements and returns."""
         self._unsubscribe()
         self._unsubscribe_return()
 
@@ -104,19 +109,21 @@
         workspace: str = "",
         targets: Sequence[str] = (),
     ) -> Reservation | Refusal:
-        """Hold the most a request may spend, or say why that can't be.
+        """Hold the most that a request may spend, or return a refusal.
 
         The targets are the addresses that the request may be sent to, given
-        only if each of them turns a cancelled request away for good.
+        only if each of them permanently rejects a cancelled request.
         """
         pool = self._get_pool(account)
         pool.demand += tokens
         deadline = self._timer.now() + self._admission_wait_s
-        wait_s = RETURN_WAIT_S[self._accounts.get_preference(pool)]
-        patience = min(deadline, self._timer.now() + wait_s)
+        return_wait_s = PEER_RETURN_WAIT_S[self._accounts.get_preference(pool)]
+        return_deadline = min(deadline, self._timer.now() + return_wait_s)
         while True:
             if self._accounts.count_usable(pool) < tokens:
-                refusal = await self._drawing.obtain(pool, tokens, deadline, patience)
+                refusal = await self._drawing.obtain(
+                    pool, tokens, deadline, return_deadline
+                )
                 if refusal is not None:
                     return refusal
                 continue
@@ -125,7 +132,7 @@
                 request=request, key=key, tokens=tokens, targets=targets
             )
             self._drawing.draw_ahead(pool)
-            if await self._confirm(pool, draw, hold, deadline):
+            if await self._confirm_hold(pool, draw, hold, deadline):
                 return Reservation(
                     request=request,
                     account=account,
@@ -142,7 +149,7 @@
                 )
 
     def settle(self, reservation: Reservation, tokens: int) -> None:
-        """End a reservation with what the target really spent."""
+        """End a reservation with the tokens that the target spent."""
         if tokens > reservation.tokens:
             log_event(
                 Event.USAGE_ABOVE_RESERVATION,
@@ -154,16 +161,16 @@
         pool = self._pools[reservation.account]
         draw = pool.find_draw(reservation.draw)
         if draw is not None:
-            self._drawing.note_change(pool)
+            self._drawing.notify_change(pool)
             draw.settle_hold(reservation.number, min(tokens, reservation.tokens))
 
     def count_usable(self, account: str) -> int:
-        """Return what this host may hold of an account without the log."""
+        """Return what this host may hold of an account without another draw."""
         pool = self._get_pool(account)
         return self._accounts.count_usable(pool)
 
-    async def stock(self, account: str, amount: int) -> bool:
-        """Draw until an amount is usable; tell whether it is."""
+    async def ensure_usable(self, account: str, amount: int) -> bool:
+        """Draw until an amount is usable; return whether it is."""
         pool = self._get_pool(account)
         deadline = self._timer.now() + self._admission_wait_s
         while self._accounts.count_usable(pool) < amount:
@@ -172,17 +179,17 @@
                 return False
         return True
 
-    def give_back(self, account: str) -> None:
-        """Return what no request holds of an account at once."""
+    def return_unheld(self, account: str) -> None:
+        """Give back immediately what no request holds of an account."""
         pool = self._get_pool(account)
-        self._give_back(pool, self._accounts.count_usable(pool))
+        self._return_tokens(pool, self._accounts.count_usable(pool))
 
-    def renew(self, account: str) -> None:
-        """Hold the next requests in a new draw, which no older fence covers."""
+    def retire_draw(self, account: str) -> None:
+        """Retire the current draw; no existing fence covers the draw opened next."""
         self._get_pool(account).retire()
 
     async def return_all(self, timeout_s: float) -> None:
-        """Settle and close every draw; call it when no request is left."""
+        """Settle and close every draw; call it when no request is running."""
         deadline = self._timer.now() + timeout_s
         while self._timer.now() < deadline:
             for pool in self._pools.values():
@@ -204,23 +211,23 @@
             self._pools[account] = pool
         return pool
 
-    async def _answer_starved(self, message: Starved) -> PeerMessage:
+    async def _handle_starved(self, message: Starved) -> PeerMessage:
         pool = self._pools.get(message.account)
         if pool is None:
             return StarvedReply(returned=0)
-        pool.asked_until = self._timer.now() + ASKED_S
+        pool.asked_until = self._timer.now() + KEEP_RETURNING_S
         return StarvedReply(
-            returned=self._give_back(pool, self._accounts.count_usable(pool))
+            returned=self._return_tokens(pool, self._accounts.count_usable(pool))
         )
 
-    async def _return_asked(self) -> None:
-        # What a peer lacks comes free in small parts, as requests end below
-        # their worst case. Kept here, each part is too little for a request.
+    async def _return_to_starved_peers(self) -> None:
+        # The tokens that a peer lacks come free here in small amounts, as requests
+        # end below their worst case. Each amount alone is too small for a request.
         for pool in self._pools.values():
             if self._timer.now() < pool.asked_until:
-                self._give_back(pool, self._accounts.count_usable(pool))
+                self._return_tokens(pool, self._accounts.count_usable(pool))
 
-    def _give_back(self, pool: AccountPool, amount: int) -> int:
+    def _return_tokens(self, pool: AccountPool, amount: int) -> int:
         record = pool.make_return(amount)
         draw = pool.current
         if record is None or draw is None:
@@ -229,33 +236,33 @@
         return amount
 
     def _submit_return(self, pool: AccountPool, draw: DrawPool, record: Return) -> None:
-        def note(future: asyncio.Future[Verdict]) -> None:
+        def on_verdict(future: asyncio.Future[Verdict]) -> None:
             draw.returning = 0
             if not future.cancelled() and isinstance(future.result(), Accepted):
                 pool.drawn -= record.amount
 
         ticket = self._streams.submit_ledger(pool.number, record)
-        ticket.future.add_done_callback(note)
+        ticket.future.add_done_callback(on_verdict)
 
-    async def _confirm(
+    async def _confirm_hold(
         self, pool: AccountPool, draw: DrawPool, hold: Hold, deadline: float
     ) -> bool:
         try:
             while not hold.confirmed:
                 if draw.retired or self._timer.now() >= deadline:
                     break
-                await self._witnesses.update(pool, draw, deadline)
+                await self._witnesses.send_update(pool, draw, deadline)
         except asyncio.CancelledError:
             draw.settle_hold(hold.number, 0)
             raise
         if not hold.confirmed:
-            # Not confirmed means not sent to any target: nothing was spent.
+            # An unconfirmed request was sent to no target, so it spent nothing.
             draw.settle_hold(hold.number, 0)
         return hold.confirmed
 
     async def _tick(self) -> None:
         for pool in list(self._pools.values()):
-            pool.note_interval(SETTLE_S)
+            pool.update_demand_rate(SETTLE_INTERVAL_S)
             self._settle(pool)
             self._review_witness(pool)
             self._return_surplus(pool)
@@ -269,19 +276,19 @@
     def _submit_settlement(
         self, pool: AccountPool, draw: DrawPool, record: Settle
     ) -> None:
-        def note(_: asyncio.Future[Verdict]) -> None:
+        def on_verdict(_: asyncio.Future[Verdict]) -> None:
             draw.settling = False
 
         draw.settling = True
         ticket = self._streams.submit_ledger(pool.number, record)
-        ticket.future.add_done_callback(note)
+        ticket.future.add_done_callback(on_verdict)
 
     def _review_witness(self, pool: AccountPool) -> None:
         draw = pool.current
         if draw is None:
             return
-        # A draw opened while this host was alone, or whose witness is gone,
-        # would be lost whole if this host died; a new one is covered.
+        # A draw that was opened without live peers, or whose witness is lost, would
+        # be lost whole with this host. A new draw has a live witness.
         reachable = self._accounts.is_log_reachable(pool)
         if reachable and self._peers.has_better_witness(draw.witness):
             log_event(Event.WITNESS_LOST, draw=draw.draw, witness=draw.witness)
@@ -291,5 +298,7 @@
 
     def _return_surplus(self, pool: AccountPool) -> None:
         usable = self._accounts.count_usable(pool)
-        surplus = self._policy.count_surplus(self._accounts.describe(pool), usable)
-        self._give_back(pool, min(surplus, usable))
+        surplus = self._policy.compute_surplus(
+            self._accounts.take_snapshot(pool), usable
+        )
+        self._return_tokens(pool, min(surplus, usable))
--- a/trefoilstage/components/budget/messages.py
+++ b/trefoilstage/components/budget/messages.py
@@ -1,4 +1,7 @@
-"""Define what holders, witnesses and starved hosts say to each other."""
+"""Define the messages between holders, witnesses and starved hosts.
+
+A starved host needs more tokens of an account than it can draw.
+"""
 
 from dataclasses import dataclass
 from typing import Literal
@@ -9,7 +12,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Bound:
-    """Tell a draw's witness which holds ended and ask it to allow new ones."""
+    """Report ended holds to a draw's witness and ask it to allow new ones."""
 
     draw: Name
     stream: Tokens
@@ -23,7 +26,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class BoundReply:
-    """Answer a bound; an unknown draw may just not have been read yet."""
+    """Answer a bound; the witness may not have read an unknown draw yet."""
 
     allowed: bool
     known: bool = True
@@ -32,7 +35,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Starved:
-    """Ask a peer to give back what it does not hold of an account."""
+    """Ask a peer to give back what no request holds of an account."""
 
     account: Name
     kind: Literal["starved"] = "starved"
@@ -40,7 +43,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StarvedReply:
-    """Tell a starved host what will come back."""
+    """Report to a starved host how many tokens are being given back."""
 
     returned: Tokens
     kind: Literal["starved_reply"] = "starved_reply"
--- a/trefoilstage/components/budget/peers.py
+++ b/trefoilstage/components/budget/peers.py
@@ -1,4 +1,4 @@
-"""Pick a draw's witness among the peers, and ask them for unheld tokens."""
+"""Choose a draw's witness among the peers, and ask them for unheld tokens."""
 
 import asyncio
 import random
@@ -15,7 +15,7 @@
 
 
 class BudgetPeers:
-    """Turn to other hosts for a witness or for tokens."""
+    """Choose witnesses among the peers, and ask peers for unheld tokens."""
 
     def __init__(
         self,
@@ -35,11 +35,11 @@
         self._generator = generator
 
     def pick_witness(self, lost: str) -> str:
-        """Return a live peer's incarnation, one in this data centre if any is."""
+        """Return a live peer's incarnation, one in this data centre if possible."""
         live = self._blackboard.list_live_peers()
         if self._recovery is Recovery.COUNT_AS_SPENT or not live:
             return NO_WITNESS
-        # A peer that has just failed to answer may still count as live.
+        # A peer that did not respond just now may still be listed as live.
         peers = [entry for entry in live if entry.incarnation != lost] or live
         near = [
             entry
@@ -49,17 +49,17 @@
         return self._generator.choice(near or peers).incarnation
 
     def has_better_witness(self, witness: str) -> bool:
-        """Tell whether a new draw would be witnessed where this one is not."""
+        """Return whether the witness is lost and a live peer could replace it."""
         if self._recovery is Recovery.COUNT_AS_SPENT:
             return False
         live = {entry.incarnation for entry in self._blackboard.list_live_peers()}
         return bool(live) and witness not in live
 
     async def ask_holders(self, pool: AccountPool) -> None:
-        """Ask the holders of an account's draws for what they do not hold."""
+        """Ask the peers with draws on an account to give back unheld tokens."""
         holders = {
             draw.holder
-            for draw in self._accounts.list_foreign(pool)
+            for draw in self._accounts.list_peer_draws(pool)
             if draw.status is DrawStatus.OPEN
         }
         calls = [
--- a/trefoilstage/components/budget/policy.py
+++ b/trefoilstage/components/budget/policy.py
@@ -1,23 +1,27 @@
-"""Decide how much a host draws and gives back; pure, with no clock."""
+"""Decide how much a host draws and gives back; pure, with no clock.
+
+A draw is an amount of an account that the log has granted to one host. The
+stock is the part of a host's draws that no request holds.
+"""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 from trefoilstage.configuration.schema import Preference
 
-PLENTIFUL_S = 300.0
-SHARE_OF_FREE = {Preference.AVOID_REFUSALS: 0.5, Preference.AVOID_OVERSPEND: 0.25}
-RETURN_WAIT_S = {Preference.AVOID_REFUSALS: 0.9, Preference.AVOID_OVERSPEND: 0.6}
-SURPLUS_FACTOR = 2
-MARGIN_DIVISOR = 4
-REFILL_DIVISOR = 2
-IDLE_S = 3.0
-PLENTIFUL_IDLE_S = 20.0
-RETURNABLE_KEEP_S = 0.5
+MAX_STOCK_DEMAND_S = 300.0
+STOCK_FREE_SHARE = {Preference.AVOID_REFUSALS: 0.5, Preference.AVOID_OVERSPEND: 0.25}
+PEER_RETURN_WAIT_S = {Preference.AVOID_REFUSALS: 0.9, Preference.AVOID_OVERSPEND: 0.6}
+SURPLUS_STOCK_FACTOR = 2
+RETURNABLE_STOCK_DIVISOR = 4
+LOW_WATER_DIVISOR = 2
+IDLE_RETURN_S = 3.0
+PLENTIFUL_IDLE_RETURN_S = 20.0
+RETURNABLE_HORIZON_S = 0.5
 
 
 class BudgetPolicy(StrEnum):
-    """Name the ways to divide a budget among the hosts."""
+    """List the ways to divide a budget among the hosts."""
 
     ADAPTIVE = "adaptive"
     STATIC_SPLIT = "static-split"
@@ -25,7 +29,7 @@
 
 
 class Recovery(StrEnum):
-    """Name what becomes of a lost host's tokens."""
+    """List how a lost host's tokens are accounted for."""
 
     WITNESS = "witness"
     COUNT_AS_SPENT = "count-as-spent"
@@ -33,7 +37,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Situation:
-    """Describe an account as a host sees it; amounts in tokens or watts."""
+    """Describe an account as one host sees it; amounts in tokens or watts.
+
+    `returnable` marks watts, which come free again when their request ends.
+    """
 
     paid: int
     free: int
@@ -48,65 +55,72 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DrawPolicy:
-    """Size draws and returns."""
+    """Compute the amounts to draw and to give back."""
 
     kind: BudgetPolicy
     horizon_s: float
     fixed_draw_tokens: int
 
     def size_draw(self, situation: Situation, shortfall: int) -> int:
-        """Return what to ask for; below the shortfall means not to ask."""
+        """Return the amount to ask for; a static split may allow less than needed."""
         if self.kind is BudgetPolicy.FIXED_DRAW:
             return max(shortfall, self.fixed_draw_tokens)
         if self.kind is BudgetPolicy.STATIC_SPLIT:
             return situation.paid // situation.n_hosts - situation.drawn
-        return max(shortfall, self.size_stock(situation))
+        return max(shortfall, self.compute_stock(situation))
 
-    def size_stock(self, situation: Situation) -> int:
-        """Return what a host may keep beside what its requests hold."""
+    def compute_stock(self, situation: Situation) -> int:
+        """Return the amount that a host may keep beyond what its requests hold."""
         if situation.returnable:
-            return situation.held // MARGIN_DIVISOR
-        # While much is free, a host holds minutes of its own demand, so that
-        # an outage of the log refuses nobody. As the rest shrinks, so do the
-        # draws: what one host keeps idle is what another would refuse.
-        share = SHARE_OF_FREE[situation.preference] / situation.n_hosts
-        plentiful = situation.demand_rate * PLENTIFUL_S
-        return max(0, int(min(plentiful, situation.free * share)))
-
-    def count_low_mark(self, situation: Situation) -> int:
-        """Return the usable amount below which to draw ahead of need."""
+            return situation.held // RETURNABLE_STOCK_DIVISOR
+        # While much is free, a host keeps a stock for minutes of its own demand,
+        # so that no request is refused in an outage of the log. The stock shrinks
+        # with the free amount, since an unused stock makes other hosts refuse
+        # requests.
+        stock_share = STOCK_FREE_SHARE[situation.preference] / situation.n_hosts
+        demand_tokens = situation.demand_rate * MAX_STOCK_DEMAND_S
+        return max(0, int(min(demand_tokens, situation.free * stock_share)))
+
+    def compute_low_water_mark(self, situation: Situation) -> int:
+        """Return the usable amount below which a host draws ahead of demand."""
         if self.kind is not BudgetPolicy.ADAPTIVE or situation.returnable:
             return 0
-        soon = int(situation.demand_rate * self.horizon_s)
-        stock = self.size_stock(situation)
-        # A cut from the log comes unannounced. Filled up only near the end, a
-        # host's stock was often nearly empty then, and it refused at once.
-        return min(max(soon, stock // REFILL_DIVISOR), stock)
-
-    def count_surplus(self, situation: Situation, usable: int) -> int:
-        """Return what to give back without being asked."""
+        upcoming_demand = int(situation.demand_rate * self.horizon_s)
+        stock = self.compute_stock(situation)
+        # The log becomes unreachable without warning. When hosts refilled a stock
+        # only near its end, it was often nearly empty at that moment, and they
+        # refused requests immediately.
+        return min(max(upcoming_demand, stock // LOW_WATER_DIVISOR), stock)
+
+    def compute_surplus(self, situation: Situation, usable: int) -> int:
+        """Return the amount to give back without a request from a peer."""
         if self.kind is BudgetPolicy.STATIC_SPLIT or usable <= 0:
             return 0
         # The limit was lowered below what the hosts hold.
         if situation.free < 0:
             return min(usable, -situation.free)
-        if situation.held == 0 and situation.idle_s >= self._get_idle_limit(
+        if situation.held == 0 and situation.idle_s >= self._get_idle_limit_s(
             situation, usable
         ):
             return usable
         if self.kind is BudgetPolicy.FIXED_DRAW:
             return 0
-        keep_s = RETURNABLE_KEEP_S if situation.returnable else self.horizon_s
-        soon = int(situation.demand_rate * keep_s)
-        keep = max(soon, SURPLUS_FACTOR * self.size_stock(situation))
-        return max(0, usable - keep)
-
-    def _get_idle_limit(self, situation: Situation, usable: int) -> float:
-        """Return how long a stock may lie unused before it is given back."""
-        # Seconds without a request are common at a few a second over a fleet.
-        # A host that gave everything back in one and was then cut off from the
-        # log refused its next request, with plenty free that it could not draw.
-        share = SHARE_OF_FREE[situation.preference] / situation.n_hosts
-        if situation.returnable or usable > SURPLUS_FACTOR * situation.free * share:
-            return IDLE_S
-        return PLENTIFUL_IDLE_S
+        horizon_s = RETURNABLE_HORIZON_S if situation.returnable else self.horizon_s
+        upcoming_demand = int(situation.demand_rate * horizon_s)
+        kept = max(
+            upcoming_demand, SURPLUS_STOCK_FACTOR * self.compute_stock(situation)
+        )
+        return max(0, usable - kept)
+
+    def _get_idle_limit_s(self, situation: Situation, usable: int) -> float:
+        """Return for how long a stock may be unused before it is given back."""
+        # At a few requests a second over the fleet, a host often gets none for
+        # some seconds. A host that gave back its whole stock then and lost the
+        # log refused its next request, though plenty was free in the account.
+        stock_share = STOCK_FREE_SHARE[situation.preference] / situation.n_hosts
+        if (
+            situation.returnable
+            or usable > SURPLUS_STOCK_FACTOR * situation.free * stock_share
+        ):
+            return IDLE_RETURN_S
+        return PLENTIFUL_IDLE_RETURN_S
--- a/trefoilstage/components/budget/pool.py
+++ b/trefoilstage/components/budget/pool.py
@@ -1,4 +1,9 @@
-"""Account for the tokens of one draw on its holder; pure, with no clock."""
+"""Account for the tokens of one draw on its holder; pure, with no clock.
+
+A hold reserves the most that one request may spend. The draw's witness is a
+peer host that confirms each hold; if the holder is lost, the witness closes
+the draw from its own table of holds.
+"""
 
 from collections import deque
 from collections.abc import Iterable
@@ -11,12 +16,12 @@
 
 NO_WITNESS = ""
 MAX_UNBILLED = 20_000
-MAX_ENTRIES = 2_000
+MAX_ENTRIES_PER_MESSAGE = 2_000
 
 
 @dataclass(kw_only=True, slots=True)
 class Hold:
-    """Hold the most that one request may spend."""
+    """Describe the tokens reserved for one request."""
 
     number: int
     request: str
@@ -25,8 +30,8 @@
     targets: tuple[int, ...] = ()
     confirmed: bool = False
 
-    def describe(self) -> OpenRequest:
-        """Return the hold as the witness and the log know it."""
+    def make_open_request(self) -> OpenRequest:
+        """Return the hold in the form that the witness and the log store."""
         return OpenRequest(
             number=self.number,
             key=self.key,
@@ -37,25 +42,25 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Ending:
-    """Hold what an ended request spent and the draw's total after it."""
+class EndedRequest:
+    """Describe what an ended request spent and the draw's total after it."""
 
     number: int
     key: str
     tokens: int
     after: int
 
-    def describe(self) -> BilledRequest:
-        """Return the ending as the witness and the log know it."""
+    def make_billed_request(self) -> BilledRequest:
+        """Return the request in the form that the witness and the log store."""
         return BilledRequest(key=self.key, tokens=self.tokens, number=self.number)
 
 
 @dataclass(kw_only=True, slots=True)
 class DrawPool:
-    """Keep spend and holds of a draw within its amount and its witness's word.
+    """Limit the spend and holds of a draw to its amount and what its witness allows.
 
-    A request is sent to a target only once its hold is confirmed, so the
-    witness's table always covers whatever this holder may have spent.
+    A request is sent to a target only after its hold is confirmed, so the
+    witness's table always covers everything that this holder may have spent.
     """
 
     draw: str
@@ -73,17 +78,17 @@
     n_holds: int = 0
     holds: dict[int, Hold] = field(default_factory=dict)
     unconfirmed: dict[int, Hold] = field(default_factory=dict)
-    unbilled: deque[Ending] = field(default_factory=deque)
-    unwitnessed: deque[Ending] = field(default_factory=deque)
+    unbilled: deque[EndedRequest] = field(default_factory=deque)
+    unwitnessed: deque[EndedRequest] = field(default_factory=deque)
     targets: list[str] = field(default_factory=list)
 
     @property
     def level(self) -> int:
-        """Return what is spent or may yet be spent by running requests."""
+        """Return what is spent or may still be spent by running requests."""
         return self.spent + self.held
 
     def count_usable(self, amount: int) -> int:
-        """Return what new requests may hold, given the draw's folded amount."""
+        """Return what new requests may hold, given the draw's amount in the ledger."""
         if self.retired:
             return 0
         return amount - self.returning - self.level
@@ -91,11 +96,12 @@
     def add_hold(
         self, *, request: str, key: str, tokens: int, targets: Iterable[str] = ()
     ) -> Hold:
-        """Hold tokens for a request; confirmed at once without a witness."""
+        """Hold tokens for a request; the hold is confirmed if there is no witness."""
         self.n_holds += 1
-        # Several targets may share an address. Asked once for each of them, it
-        # would tell the same spend each time, and a retry would be overbilled.
-        numbers = dict.fromkeys(self._number_target(target) for target in targets)
+        # Several targets may share an address. If it were asked once for each of
+        # them, it would report the same spend each time, and a retry would be
+        # overbilled.
+        numbers = dict.fromkeys(self._index_target(target) for target in targets)
         hold = Hold(
             number=self.n_holds,
             request=request,
@@ -110,38 +116,40 @@
             self.unconfirmed[hold.number] = hold
         return hold
 
-    def _number_target(self, target: str) -> int:
+    def _index_target(self, target: str) -> int:
         if target not in self.targets:
             self.targets.append(target)
         return self.targets.index(target)
 
     def settle_hold(self, number: int, tokens: int) -> None:
-        """End a hold and count what its request really spent."""
+        """End a hold and count what its request spent."""
         hold = self.holds.pop(number)
         self.unconfirmed.pop(number, None)
         self.held -= hold.tokens
         self.spent += tokens
-        ending = Ending(number=number, key=hold.key, tokens=tokens, after=self.spent)
+        ended_request = EndedRequest(
+            number=number, key=hold.key, tokens=tokens, after=self.spent
+        )
         if tokens > 0:
-            self.unbilled.append(ending)
-        # While the log is out, entries pile up. The oldest are dropped then:
-        # the total still charges them, and only a retry of such a key later
-        # pays twice. Memory stays bounded and nothing is spent unpaid.
+            self.unbilled.append(ended_request)
+        # Entries accumulate while the log is unreachable. Dropping the oldest
+        # bounds the memory. The total still charges them, so nothing is spent
+        # unpaid; only a later retry with the key of a dropped entry pays twice.
         while len(self.unbilled) > MAX_UNBILLED:
             self.unbilled.popleft()
             self.dropped = True
         if self.witness != NO_WITNESS and not self.retired:
-            self.unwitnessed.append(ending)
+            self.unwitnessed.append(ended_request)
 
     def retire(self) -> None:
-        """Take no new holds; those that run end and are settled."""
+        """Stop accepting holds; the open ones end and are settled."""
         self.retired = True
         self.unwitnessed.clear()
 
     def propose_bound(self, stream: int) -> Bound | None:
-        """Return what to ask the witness for, or None when nothing changed."""
-        ended = list(islice(self.unwitnessed, MAX_ENTRIES))
-        opened = list(islice(self.unconfirmed.values(), MAX_ENTRIES))
+        """Return the message for the witness, or None when nothing changed."""
+        ended = list(islice(self.unwitnessed, MAX_ENTRIES_PER_MESSAGE))
+        opened = list(islice(self.unconfirmed.values(), MAX_ENTRIES_PER_MESSAGE))
         if not ended and not opened:
             return None
         self.sequence += 1
@@ -151,13 +159,13 @@
             stream=stream,
             sequence=self.sequence,
             before=before,
-            ended=tuple(ending.describe() for ending in ended),
-            opened=tuple(hold.describe() for hold in opened),
+            ended=tuple(request.make_billed_request() for request in ended),
+            opened=tuple(hold.make_open_request() for hold in opened),
             targets=tuple(self.targets),
         )
 
     def confirm_bound(self, bound: Bound) -> None:
-        """Take the witness's consent to what was asked."""
+        """Record that the witness allowed a bound."""
         for request in bound.opened:
             hold = self.unconfirmed.pop(request.number, None)
             if hold is not None:
@@ -166,39 +174,39 @@
             for _ in bound.ended:
                 self.unwitnessed.popleft()
 
-    def acknowledge_spent(self, spent: int) -> None:
-        """Forget the endings that the log has counted."""
+    def forget_settled_up_to(self, spent: int) -> None:
+        """Drop the ended requests that the log has counted."""
         while self.unbilled and self.unbilled[0].after <= spent:
             self.unbilled.popleft()
 
-    def acknowledge_state(self, state: DrawState) -> None:
-        """Forget the endings that need no settlement any more."""
+    def forget_settled(self, state: DrawState) -> None:
+        """Drop the ended requests that no longer need a settlement."""
         if state.status is DrawStatus.OPEN:
-            self.acknowledge_spent(state.spent)
+            self.forget_settled_up_to(state.spent)
             return
-        # A sealed draw's total also grows by what the targets said of other
-        # holds, so it proves nothing of ours; the holds in doubt do.
+        # A sealed draw's total also grows by what targets report of other holds,
+        # so it does not show what was counted here. The doubtful holds show it.
         self.unbilled = deque(
-            ending for ending in self.unbilled if ending.number in state.doubtful
+            request for request in self.unbilled if request.number in state.doubtful
         )
 
     def make_settlement(self, state: DrawState) -> Settle | None:
-        """Return what the log has still to be told, given the folded draw."""
-        self.acknowledge_state(state)
-        entries = list(islice(self.unbilled, MAX_ENTRIES))
-        final = self._is_final(state, len(entries))
-        # A witness that lost this host alone must learn that it lives, before
-        # it has the targets end the requests that still run.
-        alive = state.status is DrawStatus.SEALED and bool(self.holds)
-        if not final and not entries and not alive:
+        """Return the settlement that the log still lacks, or None."""
+        self.forget_settled(state)
+        entries = list(islice(self.unbilled, MAX_ENTRIES_PER_MESSAGE))
+        is_final = self._is_final(state, len(entries))
+        # A witness that lost contact with this host alone must learn that the
+        # host is alive, before it has the targets end the running requests.
+        must_report_alive = state.status is DrawStatus.SEALED and bool(self.holds)
+        if not is_final and not entries and not must_report_alive:
             return None
         total = entries[-1].after if entries else self.spent
         return Settle(
             draw=self.draw,
             before=entries[0].after - entries[0].tokens if entries else total,
             spent=total,
-            final=final,
-            requests=tuple(ending.describe() for ending in entries),
+            final=is_final,
+            requests=tuple(entry.make_billed_request() for entry in entries),
         )
 
     def _is_final(self, state: DrawState, n_entries: int) -> bool:
--- a/trefoilstage/components/budget/setup.py
+++ b/trefoilstage/components/budget/setup.py
@@ -1,4 +1,4 @@
-"""Assemble the budget parts of one host."""
+"""Create the budget services of one host."""
 
 import random
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 from trefoilstage.blackboard import Blackboard
 from trefoilstage.components.budget.accounts import Accounts
 from trefoilstage.components.budget.controller import BudgetController
-from trefoilstage.components.budget.drawing import Drawing
+from trefoilstage.components.budget.draw_requester import DrawRequester
 from trefoilstage.components.budget.peers import BudgetPeers
 from trefoilstage.components.budget.policy import DrawPolicy
 from trefoilstage.components.budget.recovery import Canceller, RecoveryController
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class BudgetParts:
-    """Hold the services that keep budgets."""
+    """Group the budget services of one host."""
 
     budget: BudgetController
     witness: WitnessController
@@ -41,7 +41,7 @@
     timer: TimerService,
     generator: random.Random,
 ) -> BudgetParts:
-    """Return the services that keep budgets, not yet started."""
+    """Return the budget services of one host, not yet started."""
     accounts = Accounts(blackboard=blackboard)
     witnesses = WitnessClient(
         blackboard=blackboard,
@@ -63,7 +63,7 @@
         ask_timeout_s=settings.witness_timeout_s,
         generator=generator,
     )
-    drawing = Drawing(
+    drawing = DrawRequester(
         accounts=accounts, streams=streams, peers=peers, timer=timer, policy=policy
     )
     return BudgetParts(
@@ -97,12 +97,12 @@
 
 
 def make_canceller(targets: TargetClient) -> Canceller:
-    """Return a call that ends a request at an address and tells its tokens."""
+    """Return a function that ends a request at an address and returns its tokens."""
 
     async def cancel(url: str, request: str) -> int | None:
         target = TargetConfig.model_construct(url=url)
         answer = await targets.cancel(target, request)
-        # A request that has not ended yet may still spend.
+        # A request that has not ended may still spend tokens.
         return answer.usage.total if answer and answer.ended else None
 
     return cancel
--- a/trefoilstage/components/budget/table.py
+++ b/trefoilstage/components/budget/table.py
@@ -1,4 +1,8 @@
-"""Decide what a witness allows and what it seals; pure, with no clock."""
+"""Decide what a witness allows and what it seals; pure, with no clock.
+
+A bound asks the witness of a draw to allow new holds. A seal closes a lost
+host's draw: it records what was spent and which requests may still run.
+"""
 
 from collections import deque
 from collections.abc import Container
@@ -15,8 +19,8 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class WitnessedEnding:
-    """Hold an ended request that the log may not have counted."""
+class WitnessedRequest:
+    """Describe an ended request that the log may not have counted."""
 
     request: BilledRequest
     after: int
@@ -24,64 +28,66 @@
 
 @dataclass(kw_only=True, slots=True)
 class WitnessedDraw:
-    """Hold what this host allowed for one draw of a peer."""
+    """Describe what this host has allowed for one draw of a peer."""
 
     sequence: int = 0
     spent: int = 0
     sealed: bool = False
     open_requests: dict[int, OpenRequest] = field(default_factory=dict)
-    unsettled: deque[WitnessedEnding] = field(
+    unsettled: deque[WitnessedRequest] = field(
         default_factory=lambda: deque(maxlen=MAX_UNSETTLED)
     )
     targets: tuple[str, ...] = ()
 
-    def take(self, message: Bound) -> None:
-        """Count a holder's endings and new holds."""
+    def apply(self, message: Bound) -> None:
+        """Apply a holder's ended requests and new holds."""
         self.sequence = message.sequence
         self.targets = message.targets
-        position = message.before
+        total_spent = message.before
         for ended in message.ended:
-            position += ended.tokens
+            total_spent += ended.tokens
             self.open_requests.pop(ended.number, None)
-            if position > self.spent:
-                self.unsettled.append(WitnessedEnding(request=ended, after=position))
-                self.spent = position
+            if total_spent > self.spent:
+                self.unsettled.append(
+                    WitnessedRequest(request=ended, after=total_spent)
+                )
+                self.spent = total_spent
         for opened in message.opened:
             self.open_requests[opened.number] = opened
 
     def forget_settled(self, spent: int) -> None:
-        """Forget the endings that the log has counted."""
+        """Drop the ended requests that the log has counted."""
         while self.unsettled and self.unsettled[0].after <= spent:
             self.unsettled.popleft()
 
 
 @dataclass(kw_only=True, slots=True)
 class WitnessTable:
-    """Hold every draw that this host is the witness of."""
+    """Store every draw that this host is the witness of."""
 
     incarnation: str
     draws: dict[str, WitnessedDraw] = field(default_factory=dict)
 
     def answer(self, message: Bound, state: DrawState | None) -> BoundReply:
         """Allow a bound unless its draw is, or may be, closed to the holder."""
-        # A closed draw is no longer in the state, and a new one not yet.
-        # Allowing either would let a holder that was sealed and forgotten
-        # spend what others were granted since.
+        # The state no longer has a closed draw and does not have a new one yet.
+        # Allowing a draw that is not in the state would let a holder whose draw was
+        # sealed and dropped spend what the log has granted to peer hosts since.
         if state is None or state.witness != self.incarnation:
             return NOT_READ_YET
         draw = self.draws.setdefault(message.draw, WitnessedDraw())
-        # Once sealed here, nothing more may be allowed: the seal on the log
-        # counts exactly this table, and the rest is granted to others.
+        # After sealing a draw, this host allows no more: the seal on the log
+        # counts exactly this table, and the rest is granted to peer hosts.
         if draw.sealed or state.status is not DrawStatus.OPEN:
             return REFUSED
         if message.sequence <= draw.sequence:
             return ALLOWED if message.sequence == draw.sequence else REFUSED
-        draw.take(message)
+        draw.apply(message)
         draw.forget_settled(state.spent)
         return ALLOWED
 
     def seal(self, name: str, state: DrawState) -> Seal | None:
-        """Allow nothing more for a draw; return its seal unless made before."""
+        """Allow no more holds of a draw; return its seal, or None if it was sealed."""
         draw = self.draws.setdefault(name, WitnessedDraw())
         if draw.sealed:
             return None
@@ -93,7 +99,7 @@
             draw=name,
             before=first.after - first.request.tokens if first else draw.spent,
             spent=draw.spent,
-            requests=tuple(ending.request for ending in unsettled),
+            requests=tuple(witnessed.request for witnessed in unsettled),
             opened=tuple(draw.open_requests.values()),
             targets=draw.targets,
         )
--- a/trefoilstage/components/budget/witness.py
+++ b/trefoilstage/components/budget/witness.py
@@ -1,4 +1,4 @@
-"""Vouch for what other hosts' draws may spend, and seal those of lost hosts."""
+"""Witness the draws of peer hosts, and seal those of lost hosts."""
 
 from mode import Service
 
@@ -12,12 +12,12 @@
 from trefoilstage.ledger.state import DrawState, DrawStatus
 from trefoilstage.timer import TimerService
 
-SCAN_S = 0.25
-SEAL_DIVISOR = 3
+SCAN_INTERVAL_S = 0.25
+SEAL_DELAY_DIVISOR = 3
 
 
 class WitnessController(Service):
-    """Allow bounds while a holder lives; seal its draws when it is lost."""
+    """Allow bounds while a holder is alive; seal its draws when it is lost."""
 
     def __init__(
         self,
@@ -32,24 +32,24 @@
         self._blackboard = blackboard
         self._streams = streams
         self._timer = timer
-        # Membership has waited for the whole time before it calls a peer lost;
-        # this only keeps one lost heartbeat at that moment from sealing.
-        self._seal_after_s = suspect_after_s / SEAL_DIVISOR
+        # Membership reports a peer as lost only after the whole suspect time. This
+        # extra delay prevents a seal when one more heartbeat is lost just then.
+        self._seal_after_s = suspect_after_s / SEAL_DELAY_DIVISOR
         self._table = WitnessTable(incarnation=blackboard.incarnation)
         self._first_seen_lost: dict[str, float] = {}
-        server.register(Bound, self._answer_bound)
+        server.register(Bound, self._handle_bound)
 
     async def on_start(self) -> None:
-        """Start looking for lost holders."""
+        """Start scanning for lost holders."""
         self._unsubscribe = self._timer.subscribe(
-            name="seal", interval_s=SCAN_S, callback=self._seal_lost_holders
+            name="seal", interval_s=SCAN_INTERVAL_S, callback=self._seal_lost_holders
         )
 
     async def on_stop(self) -> None:
-        """Stop looking for lost holders."""
+        """Stop scanning for lost holders."""
         self._unsubscribe()
 
-    async def _answer_bound(self, message: Bound) -> PeerMessage:
+    async def _handle_bound(self, message: Bound) -> PeerMessage:
         ledger = self._blackboard.ledgers.get(message.stream)
         if ledger is None:
             return NOT_READ_YET
@@ -57,17 +57,17 @@
 
     async def _seal_lost_holders(self) -> None:
         live = {entry.incarnation for entry in self._blackboard.list_live_peers()}
-        known: set[str] = set()
+        witnessed: set[str] = set()
         holders: set[str] = set()
-        for number, ledger in self._blackboard.ledgers.items():
+        for ledger_number, ledger in self._blackboard.ledgers.items():
             for name, draw in list(ledger.draws.items()):
                 if draw.witness != self._blackboard.incarnation:
                     continue
-                known.add(name)
+                witnessed.add(name)
                 holders.add(draw.holder)
                 if draw.status is DrawStatus.OPEN and self._is_lost(draw.holder, live):
-                    self._seal(number, name, draw)
-        self._table.forget_closed(known)
+                    self._seal(ledger_number, name, draw)
+        self._table.forget_closed(witnessed)
         for holder in set(self._first_seen_lost) - holders:
             del self._first_seen_lost[holder]
 
@@ -79,11 +79,11 @@
         since = self._first_seen_lost.setdefault(holder, now)
         return now - since >= self._seal_after_s
 
-    def _seal(self, number: int, name: str, draw: DrawState) -> None:
+    def _seal(self, ledger_number: int, name: str, draw: DrawState) -> None:
         record = self._table.seal(name, draw)
         if record is None:
             return
-        self._streams.submit_ledger(number, record)
+        self._streams.submit_ledger(ledger_number, record)
         log_event(
             Event.DRAW_SEALED,
             draw=name,
--- a/trefoilstage/components/budget/witness_client.py
+++ b/trefoilstage/components/budget/witness_client.py
@@ -1,4 +1,4 @@
-"""Keep the witnesses of this host's draws told, one call a draw at a time."""
+"""Report this host's holds to their witnesses, with one call at a time per draw."""
 
 import asyncio
 
@@ -12,12 +12,12 @@
 from trefoilstage.helpers.events import Event, log_event
 from trefoilstage.timer import TimerService
 
-UNREAD_RETRY_S = 0.005
-UNREAD_LIMIT_S = 0.5
+UNREAD_DRAW_RETRY_S = 0.005
+UNREAD_DRAW_TIMEOUT_S = 0.5
 
 
 class WitnessClient:
-    """Ask witnesses to allow holds; whatever waits goes into one call."""
+    """Ask witnesses to allow holds; each call includes all that are pending."""
 
     def __init__(
         self,
@@ -35,45 +35,47 @@
         self._timeout_s = timeout_s
         self._updates: dict[str, asyncio.Task[None]] = {}
 
-    async def update(self, pool: AccountPool, draw: DrawPool, deadline: float) -> None:
-        """Send what the witness has not been told and wait for its answer."""
+    async def send_update(
+        self, pool: AccountPool, draw: DrawPool, deadline: float
+    ) -> None:
+        """Report pending changes to the witness; wait for its reply or the deadline."""
         wait_s = max(0.0, deadline - self._timer.now())
         await asyncio.wait({self.start_update(pool, draw)}, timeout=wait_s)
 
     def start_update(self, pool: AccountPool, draw: DrawPool) -> asyncio.Task[None]:
-        """Send what the witness has not been told, unless a call is under way."""
+        """Report pending changes to the witness, unless a call is already running."""
         task = self._updates.get(draw.draw)
         if task is None:
-            task = asyncio.create_task(self._send(pool, draw))
+            task = asyncio.create_task(self._run_update(pool, draw))
             self._updates[draw.draw] = task
             task.add_done_callback(lambda _: self._updates.pop(draw.draw, None))
         return task
 
-    async def _send(self, pool: AccountPool, draw: DrawPool) -> None:
-        deadline = self._timer.now() + UNREAD_LIMIT_S
+    async def _run_update(self, pool: AccountPool, draw: DrawPool) -> None:
+        deadline = self._timer.now() + UNREAD_DRAW_TIMEOUT_S
         while (bound := draw.propose_bound(pool.number)) is not None:
-            reply = await self._ask(draw.witness, bound)
+            reply = await self._call_witness(draw.witness, bound)
             if reply is not None and reply.allowed:
                 draw.confirm_bound(bound)
                 return
-            # A draw may be granted here before its witness has read so far.
-            unread = reply is not None and not reply.known
-            if not unread or self._timer.now() >= deadline:
+            # This host may read the grant of a draw before the witness has read it.
+            is_unread = reply is not None and not reply.known
+            if not is_unread or self._timer.now() >= deadline:
                 break
-            await asyncio.sleep(UNREAD_RETRY_S)
+            await asyncio.sleep(UNREAD_DRAW_RETRY_S)
         else:
             return
-        # With the log out no other draw can be had; a witness that is merely
-        # slow, or back soon, still makes this one worth keeping.
+        # While the log is unreachable, no other draw can be obtained. This one is
+        # worth keeping, since its witness may be merely slow or soon be back.
         if reply is None and not self._accounts.is_log_reachable(pool):
-            await asyncio.sleep(UNREAD_RETRY_S)
+            await asyncio.sleep(UNREAD_DRAW_RETRY_S)
             return
         log_event(Event.WITNESS_LOST, draw=draw.draw, witness=draw.witness)
         pool.lost_witness = draw.witness
         if pool.current is draw:
             pool.retire()
 
-    async def _ask(self, witness: str, bound: Bound) -> BoundReply | None:
+    async def _call_witness(self, witness: str, bound: Bound) -> BoundReply | None:
         url = self._find_url(witness)
         if url is None:
             return None
--- a/trefoilstage/components/power/controller.py
+++ b/trefoilstage/components/power/controller.py
@@ -143,7 +143,7 @@
         return task
 
     async def _stock(self, account: str, watts: int) -> bool:
-        stocked = await self._budget.stock(account, watts)
+        stocked = await self._budget.ensure_usable(account, watts)
         if stocked:
             for listener in self._listeners:
                 listener()
@@ -156,7 +156,7 @@
         fence covers this host's other draws as well, sealed or not; requests
         under them would be refused until they are used up.
         """
-        self._budget.renew(f"{SITE_ACCOUNT_PREFIX}{site}")
+        self._budget.retire_draw(f"{SITE_ACCOUNT_PREFIX}{site}")
 
     def release(self, hold: PowerHold) -> None:
         """Give watts back; the target has said that the request ended."""
@@ -221,7 +221,7 @@
 
     def _give_back_excess(self, account: str) -> None:
         if self._is_over_ceiling(account):
-            self._budget.give_back(account)
+            self._budget.return_unheld(account)
 
     def _list_live(self) -> dict[str, str]:
         live = {
