--- a/tests/components/admission/test_overload.py
+++ b/tests/components/admission/test_overload.py
@@ -1,4 +1,4 @@
-"""Show what callers get when targets are full, slow or failing."""
+"""Test what callers get when targets are full, slow or failing."""
 
 import asyncio
 import json
@@ -15,12 +15,12 @@
 
 
 class OverloadTest(unittest.IsolatedAsyncioTestCase):
-    """Send more than the targets can take."""
+    """Test hosts that get more requests than their targets can serve."""
 
-    async def test_high_priority_is_served_before_what_waited_longer(self) -> None:
-        """A target is full and low priority waits for it.
+    async def test_high_priority_overtakes_requests_that_waited_longer(self) -> None:
+        """Send requests of low priority until a target is full and some wait.
 
-        A request of higher priority comes last and is served first.
+        A request of higher priority that arrives last must be one of the next two.
         """
         async with Fleet(
             n_hosts=1, engine_options=SLOW_ENGINE, host_settings={"queue_wait_s": 20.0}
@@ -39,11 +39,11 @@
             order = [item["priority"] for item in executed]
             self.assertIn(5, order[2:4])
 
-    async def test_what_can_not_be_served_in_time_is_refused_at_once(self) -> None:
-        """A target is full for longer than the callers can wait.
+    async def test_request_that_would_be_late_is_refused_immediately(self) -> None:
+        """Guard against callers that wait in vain at a target full for too long.
 
-        Those who can't be served are told so long before their deadline, with
-        a time to come back, and nothing of theirs runs.
+        The host must refuse such requests long before the deadline, with a
+        Retry-After header, and must run none of them.
         """
         async with Fleet(n_hosts=1, engine_options=SLOW_ENGINE) as fleet:
             await fleet.publish("20-narrow.toml", NARROW)
@@ -54,33 +54,33 @@
             ]
             await wait_for(lambda: self.has_started(fleet, 3), "the target to be full")
             started = time.monotonic()
-            refused = await asyncio.gather(*(fleet.chat(host) for _ in range(6)))
+            answers = await asyncio.gather(*(fleet.chat(host) for _ in range(6)))
             waited_s = time.monotonic() - started
-            late = [item for item in refused if item.status != 200]
-            self.assertGreaterEqual(len(late), 4)
-            for answer in late:
+            refused = [item for item in answers if item.status != 200]
+            self.assertGreaterEqual(len(refused), 4)
+            for answer in refused:
                 self.check_refused(answer)
             self.assertLess(waited_s, 60.0)
             await asyncio.gather(*running)
             executed = await fleet.list_executed_at(fleet.engines[0])
-            self.assertEqual(len(executed), 3 + len(refused) - len(late))
+            self.assertEqual(len(executed), 3 + len(answers) - len(refused))
 
     def check_refused(self, answer: CallerAnswer) -> None:
-        """Check that a refusal says what is promised."""
+        """Check the reason, the effect and the Retry-After header of a refusal."""
         error = json.loads(answer.body)["error"]
         self.assertEqual((error["reason"], error["effect"]), ("overloaded", "not_run"))
         self.assertGreaterEqual(int(answer.headers["Retry-After"]), 1)
 
-    async def test_a_target_that_fails_fast_draws_no_traffic(self) -> None:
-        """One of two targets refuses everything at once and so looks idle.
+    async def test_target_that_fails_fast_attracts_no_traffic(self) -> None:
+        """Guard against a target that looks idle because it refuses immediately.
 
-        No caller notices: what it refuses is tried at the other, and after a
-        few failures it gets nothing but probes. Once well it gets work again.
+        Requests that one of two targets refuses must be served at the other. After
+        a few failures it gets only probes, and after it recovers, requests again.
         """
         async with Fleet(n_hosts=1, n_engines=2) as fleet:
             host = fleet.hosts[0]
-            bad = fleet.engines[0]
-            url = f"{bad.url}/control"
+            failing_engine = fleet.engines[0]
+            url = f"{failing_engine.url}/control"
             await fleet.launcher.post_json(url, {"fail_fast": True})
             answers = [await fleet.chat(host, max_tokens=1) for _ in range(60)]
             self.assertEqual({answer.status for answer in answers}, {200})
@@ -90,21 +90,21 @@
 
             async def is_used() -> bool:
                 await asyncio.gather(*(fleet.chat(host) for _ in range(4)))
-                return bool(await fleet.list_executed_at(bad))
+                return bool(await fleet.list_executed_at(failing_engine))
 
             await wait_for(is_used, "the target to get work again")
 
     async def has_started(self, fleet: Fleet, n_requests: int) -> bool:
-        """Tell whether the first engine has started so many requests."""
+        """Return whether the first engine has started at least this many requests."""
         executed = await fleet.list_executed_at(fleet.engines[0])
         return len(executed) >= n_requests
 
-    async def test_full_target_refuses_nobody_who_can_wait(self) -> None:
-        """Send a burst through three hosts to a target with one place.
+    async def test_full_target_refuses_no_caller_that_can_wait(self) -> None:
+        """Guard against refusals when three hosts overload a target with one slot.
 
-        No host knows how full the others keep the target, so it says "busy" many
-        times. A busy target ran nothing; the request waits on in its place until
-        there is room, and is not refused for want of retries.
+        No host knows how many requests its peers send, so the target often replies
+        "busy". It has run nothing then: the request must keep its position and wait
+        for the slot, and must not be refused because its retries are used up.
         """
         options = ("--max-running", "1", "--tokens-per-s", "100")
         async with Fleet(
--- a/tests/components/admission/test_queue.py
+++ b/tests/components/admission/test_queue.py
@@ -1,4 +1,4 @@
-"""Test who waits, who is refused and when."""
+"""Test which requests wait, which are refused and when."""
 
 import random
 import unittest
@@ -7,17 +7,17 @@
 
 
 def make_queue(limit: int = 4, duration_s: float = 1.0) -> WaitingQueue:
-    """Return a queue before places that each serve one request a second."""
+    """Return a queue for slots that each serve a request in `duration_s`."""
     return WaitingQueue(limit=limit, capacity=Capacity(mean_duration_s=duration_s))
 
 
 def make_ticket(number: int, priority: int = 5, give_up_at: float = 100.0) -> Ticket:
-    """Return a ticket."""
+    """Return a ticket, by default one that may wait for long."""
     return Ticket(priority=priority, number=number, give_up_at=give_up_at)
 
 
 class WaitingQueueTest(unittest.TestCase):
-    """Offer tickets to a queue."""
+    """Test how a queue orders and refuses the tickets offered to it."""
 
     def test_higher_priority_goes_first_and_equals_by_arrival(self) -> None:
         queue = make_queue()
@@ -25,23 +25,23 @@
             queue.offer(ticket, 0.0, 1)
         self.assertEqual([ticket.number for ticket in queue.tickets], [1, 0, 2])
 
-    def test_full_queue_gives_up_its_lowest_or_the_newcomer(self) -> None:
+    def test_full_queue_refuses_its_lowest_or_the_new_ticket(self) -> None:
         queue = make_queue(limit=2)
         lowest = make_ticket(1, 1)
         queue.offer(make_ticket(0), 0.0, 1)
         queue.offer(lowest, 0.0, 1)
         self.assertEqual(queue.offer(make_ticket(2, 9), 0.0, 1), [lowest])
-        newcomer = make_ticket(3, 0)
-        self.assertEqual(queue.offer(newcomer, 0.0, 1), [newcomer])
+        new_ticket = make_ticket(3, 0)
+        self.assertEqual(queue.offer(new_ticket, 0.0, 1), [new_ticket])
 
-    def test_what_can_not_be_served_in_time_is_refused_at_the_door(self) -> None:
+    def test_ticket_that_would_be_late_is_refused_on_arrival(self) -> None:
         queue = make_queue()
         queue.offer(make_ticket(0), 0.0, 1)
         late = make_ticket(1, give_up_at=1.5)
         self.assertEqual(queue.offer(late, 0.0, 1), [late])
         self.assertEqual(queue.offer(late, 0.0, 2), [])
 
-    def test_an_overtaken_ticket_is_refused_before_its_time(self) -> None:
+    def test_overtaken_ticket_is_refused_before_its_deadline(self) -> None:
         queue = make_queue(limit=20)
         overtaken = make_ticket(0, 1, give_up_at=2.0)
         self.assertEqual(queue.offer(overtaken, 0.0, 1), [])
--- a/trefoilstage/components/admission/__init__.py
+++ b/trefoilstage/components/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Queue chat calls, and refuse those that can not be in time."""
+"""Queue chat requests, and refuse those that would miss their deadline."""
--- a/trefoilstage/components/admission/controller.py
+++ b/trefoilstage/components/admission/controller.py
@@ -1,4 +1,4 @@
-"""Give requests places at targets, the highest priority first."""
+"""Assign slots at targets to requests, the highest priority first."""
 
 import asyncio
 import itertools
@@ -15,26 +15,26 @@
 from trefoilstage.helpers.verdict import Reason, Refusal
 from trefoilstage.timer import TimerService
 
-TICK_S = 0.05
+TICK_INTERVAL_S = 0.05
 MIN_RETRY_AFTER_S = 1.0
 MAX_RETRY_AFTER_S = 30.0
-WORTH_WAITING = frozenset({Reason.OVERLOADED, Reason.POWER_EXHAUSTED})
+TRANSIENT_REASONS = frozenset({Reason.OVERLOADED, Reason.POWER_EXHAUSTED})
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Place:
-    """Name the target that a request may go to and the watts held for it."""
+    """Describe a request's slot at a target and the watts held for it."""
 
     candidate: Candidate
     hold: PowerHold
     blocks: tuple[str, ...]
     n_new_tokens: int
-    started: float
+    started_at: float
 
 
 @dataclass(kw_only=True, slots=True, eq=False)
 class Waiter:
-    """Let a waiting request know of its turn or its refusal."""
+    """Signal a waiting request that it is its turn or that it is refused."""
 
     ticket: Ticket
     turn: asyncio.Event = field(default_factory=asyncio.Event)
@@ -42,7 +42,7 @@
 
 
 class AdmissionController(Service):
-    """Admit requests while targets and power have room; queue or refuse others."""
+    """Admit requests while targets and power allow it; queue or refuse the rest."""
 
     def __init__(
         self,
@@ -66,19 +66,19 @@
         self._numbers = itertools.count()
 
     async def on_start(self) -> None:
-        """Start looking after the queues."""
+        """Start the timer that checks the queues, and watch for power."""
         self._unsubscribe = self._timer.subscribe(
-            name="admission", interval_s=TICK_S, callback=self._tick
+            name="admission", interval_s=TICK_INTERVAL_S, callback=self._tick
         )
-        self._unsubscribe_power = self._power.subscribe(self._call_all)
+        self._unsubscribe_power = self._power.subscribe(self._wake_all_queues)
 
     async def on_stop(self) -> None:
-        """Stop looking after the queues."""
+        """Stop the timer and watch for power no longer."""
         self._unsubscribe_power()
         self._unsubscribe()
 
     def make_ticket(self, job: Job) -> Ticket:
-        """Return a request's rank and the time until which it may wait."""
+        """Return a ticket: a request's rank and the time until which it may wait."""
         queue = self._get_queue(job.model)
         usable_s = job.deadline_s - queue.capacity.mean_duration_s
         return Ticket(
@@ -90,37 +90,37 @@
     async def admit(
         self, job: Job, ticket: Ticket, *, excluded: frozenset[str], retry: bool
     ) -> Place | Refusal:
-        """Return a place for a request, or refuse it as soon as that is sure."""
+        """Return a slot for a request, or a refusal as soon as it is certain."""
         queue = self._get_queue(job.model)
         if not queue.is_first(ticket):
             overloaded = Refusal(reason=Reason.OVERLOADED)
-            return await self._wait(job, ticket, overloaded, excluded, retry)
-        place = await self._take_place(job, excluded, retry)
-        if not is_worth_waiting(place):
-            return place
-        return await self._wait(job, ticket, place, excluded, retry)
-
-    def leave(self, job: Job, place: Place, *, served: bool) -> None:
-        """Give a place back and call the next in line."""
+            return await self._wait_in_queue(job, ticket, overloaded, excluded, retry)
+        result = await self._take_slot(job, excluded, retry)
+        if not is_transient_refusal(result):
+            return result
+        return await self._wait_in_queue(job, ticket, result, excluded, retry)
+
+    def leave(self, job: Job, slot: Place, *, served: bool) -> None:
+        """Release a slot and wake the first request in the queue."""
         now = self._timer.now()
-        self._router.note_end(place.candidate.name, now)
+        self._router.note_end(slot.candidate.name, now)
         queue = self._get_queue(job.model)
         if served:
-            queue.capacity.note_duration(now - place.started)
-        self._call_first(queue)
+            queue.capacity.note_duration(now - slot.started_at)
+        self._wake_first(queue)
 
     def count_waiting(self) -> int:
-        """Return how many requests wait for a place."""
+        """Return how many requests wait for a slot."""
         return sum(len(queue.tickets) for queue in self._queues.values())
 
     def _get_queue(self, model: str) -> WaitingQueue:
         return self._queues.setdefault(model, WaitingQueue(limit=self._queue_limit))
 
-    async def _wait(
+    async def _wait_in_queue(
         self,
         job: Job,
         ticket: Ticket,
-        refusal: Place | Refusal,
+        result: Place | Refusal,
         excluded: frozenset[str],
         retry: bool,
     ) -> Place | Refusal:
@@ -130,22 +130,22 @@
         n_active = self._router.count_active(job.model)
         retry_after_s = queue.estimate_wait(ticket, n_active)
         try:
-            self._refuse(queue.offer(ticket, self._timer.now(), n_active))
+            self._refuse_tickets(queue.offer(ticket, self._timer.now(), n_active))
             while not waiter.refused:
                 await waiter.turn.wait()
                 waiter.turn.clear()
                 if waiter.refused:
                     break
-                refusal = await self._take_place(job, excluded, retry)
-                if not is_worth_waiting(refusal):
-                    return refusal
+                result = await self._take_slot(job, excluded, retry)
+                if not is_transient_refusal(result):
+                    return result
         finally:
             queue.remove(ticket)
             del self._waiters[ticket.number]
-            self._call_first(queue)
-        return make_refusal(refusal, retry_after_s)
+            self._wake_first(queue)
+        return make_refusal(result, retry_after_s)
 
-    async def _take_place(
+    async def _take_slot(
         self, job: Job, excluded: frozenset[str], retry: bool
     ) -> Place | Refusal:
         refusal: Refusal | None = None
@@ -155,8 +155,8 @@
             if isinstance(choice, Refusal):
                 return refusal or choice
             candidate = choice.candidate
-            # Counted before the watts are held, so that two requests that
-            # wait for watts at the same time do not share the last room.
+            # The start is counted before the watts are held, so that two requests
+            # that wait for watts at the same time do not use the same last slot.
             self._router.note_start(candidate.name, now, retry=retry)
             try:
                 hold = await self._power.hold(
@@ -171,7 +171,7 @@
                     hold=hold,
                     blocks=choice.blocks,
                     n_new_tokens=choice.n_new_tokens,
-                    started=self._timer.now(),
+                    started_at=self._timer.now(),
                 )
             self._router.note_unsent(candidate.name, self._timer.now())
             refusal = hold
@@ -181,31 +181,31 @@
         now = self._timer.now()
         for model, queue in self._queues.items():
             n_active = self._router.count_active(model)
-            self._refuse(queue.take_hopeless(now, n_active))
-            self._call_first(queue)
+            self._refuse_tickets(queue.evict_late(now, n_active))
+            self._wake_first(queue)
 
-    def _call_all(self) -> None:
+    def _wake_all_queues(self) -> None:
         for queue in self._queues.values():
-            self._call_first(queue)
+            self._wake_first(queue)
 
-    def _call_first(self, queue: WaitingQueue) -> None:
+    def _wake_first(self, queue: WaitingQueue) -> None:
         if queue.tickets:
             self._waiters[queue.tickets[0].number].turn.set()
 
-    def _refuse(self, tickets: list[Ticket]) -> None:
+    def _refuse_tickets(self, tickets: list[Ticket]) -> None:
         for ticket in tickets:
             waiter = self._waiters[ticket.number]
             waiter.refused = True
             waiter.turn.set()
 
 
-def is_worth_waiting(place: Place | Refusal) -> bool:
-    """Tell whether room or power may come free soon."""
-    return isinstance(place, Refusal) and place.reason in WORTH_WAITING
+def is_transient_refusal(result: Place | Refusal) -> bool:
+    """Return whether a result is a refusal that may soon no longer apply."""
+    return isinstance(result, Refusal) and result.reason in TRANSIENT_REASONS
 
 
-def make_refusal(refusal: Place | Refusal, wait_s: float) -> Refusal:
-    """Return a refusal with the estimated wait as the time to come back."""
-    reason = refusal.reason if isinstance(refusal, Refusal) else Reason.OVERLOADED
+def make_refusal(result: Place | Refusal, wait_s: float) -> Refusal:
+    """Return a refusal with the estimated wait, within limits, as its retry delay."""
+    reason = result.reason if isinstance(result, Refusal) else Reason.OVERLOADED
     retry_after_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s))
     return Refusal(reason=reason, retry_after_s=retry_after_s)
