--- a/trefoilstage/components/power/__init__.py
+++ b/trefoilstage/components/power/__init__.py
@@ -1,1 +1,1 @@
-"""Keep each site's draw of watts under its ceiling."""
+"""Keep the power draw of each site under its ceiling."""
--- a/trefoilstage/components/power/controller.py
+++ b/trefoilstage/components/power/controller.py
@@ -1,4 +1,4 @@
-"""Hold watts of a site for each request until it has ended on its target."""
+"""Hold watts of a site for each request until it has ended at its target."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,12 +9,12 @@
 from trefoilstage.blackboard import Blackboard
 from trefoilstage.components.budget.controller import BudgetController, Reservation
 from trefoilstage.components.log_client.streams import Streams
-from trefoilstage.components.power.lost import (
+from trefoilstage.components.power.lost_draws import (
     LostDraw,
-    describe_lost,
-    is_mine,
+    is_responsible,
     is_site_draw,
     make_hold_key,
+    make_lost_draw,
 )
 from trefoilstage.components.targets.client import TargetClient
 from trefoilstage.configuration.schema import TargetConfig
@@ -25,12 +25,12 @@
 from trefoilstage.ledger.state import DrawState
 from trefoilstage.timer import TimerService
 
-SCAN_S = 0.25
-ASK_S = 0.25
+SCAN_INTERVAL_S = 0.25
+ASK_INTERVAL_S = 0.25
 LOST_AFTER_FACTOR = 3
 RETRY_AFTER_POWER_S = 1.0
-# A request that left this host on a closed connection may still be on its way
-# for as long as the network keeps a segment (RFC 9293, 2 minutes).
+# A request sent on a connection that is now closed may still arrive for as long
+# as the network keeps a segment (RFC 9293, 2 minutes).
 MAX_SEGMENT_LIFETIME_S = 120.0
 POWER_EXHAUSTED = Refusal(
     reason=Reason.POWER_EXHAUSTED, retry_after_s=RETRY_AFTER_POWER_S
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PowerHold:
-    """Name the watts held for one request at one target."""
+    """Identify the watts held for one request at one target."""
 
     target: str
     request: str
@@ -48,7 +48,7 @@
 
 
 class PowerController(Service):
-    """Hold and give back watts; free those of lost hosts once it is safe."""
+    """Hold and release watts; release those of lost hosts once it is safe."""
 
     def __init__(
         self,
@@ -73,13 +73,13 @@
         self._listeners: list[Callable[[], None]] = []
 
     async def on_start(self) -> None:
-        """Start looking for lost hosts' watts."""
+        """Start scanning for lost hosts' watts."""
         self._unsubscribe = self._timer.subscribe(
-            name="power", interval_s=SCAN_S, callback=self._scan
+            name="power", interval_s=SCAN_INTERVAL_S, callback=self._scan
         )
 
     async def on_stop(self) -> None:
-        """Stop looking for lost hosts' watts."""
+        """Stop scanning for lost hosts' watts and cancel running calls."""
         self._unsubscribe()
         for releasing in self._releasing.values():
             releasing.cancel()
@@ -89,13 +89,13 @@
     async def hold(
         self, request: str, name: str, target: TargetConfig
     ) -> PowerHold | Refusal:
-        """Hold a target's watts for a request, or say why that can't be."""
+        """Hold a target's watts for a request, or return a refusal."""
         if target.watts_per_request == 0:
             return PowerHold(target=name, request=request)
         account = f"{SITE_ACCOUNT_PREFIX}{target.site}"
         if self._is_over_ceiling(account):
             return POWER_EXHAUSTED
-        if not await self._is_stocked(account, target.watts_per_request):
+        if not await self._ensure_usable(account, target.watts_per_request):
             return POWER_EXHAUSTED
         key = make_hold_key(name, request)
         reservation = await self._budget.reserve(
@@ -109,8 +109,8 @@
             return POWER_EXHAUSTED
         draw = self._find_draw(reservation)
         if draw is None:
-            # The draw was released while the witness was asked: the hold is
-            # worth nothing, and nothing has been sent.
+            # The draw was released while this host waited for the witness. The
+            # hold is void, and nothing has been sent.
             self._budget.settle(reservation, 0)
             return POWER_EXHAUSTED
         return PowerHold(
@@ -118,16 +118,16 @@
         )
 
     def subscribe(self, listener: Callable[[], None]) -> Callable[[], None]:
-        """Call a listener when watts have come in, until unsubscribed."""
+        """Call a listener after each draw of watts until the result is called."""
         self._listeners.append(listener)
         return lambda: self._listeners.remove(listener)
 
-    async def _is_stocked(self, account: str, watts: int) -> bool:
+    async def _ensure_usable(self, account: str, watts: int) -> bool:
         while self._budget.count_usable(account) < watts:
-            task = self._start_stocking(account, watts)
-            # Free watts are drawn in a moment. Others' may take as long as
-            # these need to give them back, and what ends here meanwhile must
-            # go to the next request at once; so that is not waited for here.
+            task = self._start_draw(account, watts)
+            # Free watts are drawn quickly. Watts of peer hosts may take as long
+            # as the peers need to give them back, so they are not waited for:
+            # watts released here meanwhile must go to the next request immediately.
             if self._count_free(account) < watts:
                 return False
             await asyncio.wait({task})
@@ -135,46 +135,46 @@
                 return False
         return True
 
-    def _start_stocking(self, account: str, watts: int) -> asyncio.Task[bool]:
+    def _start_draw(self, account: str, watts: int) -> asyncio.Task[bool]:
         task = self._stocking.get(account)
         if task is None or task.done():
-            task = asyncio.create_task(self._stock(account, watts))
+            task = asyncio.create_task(self._draw_watts(account, watts))
             self._stocking[account] = task
         return task
 
-    async def _stock(self, account: str, watts: int) -> bool:
-        stocked = await self._budget.ensure_usable(account, watts)
-        if stocked:
+    async def _draw_watts(self, account: str, watts: int) -> bool:
+        is_usable = await self._budget.ensure_usable(account, watts)
+        if is_usable:
             for listener in self._listeners:
                 listener()
-        return stocked
+        return is_usable
 
     def renew(self, site: str) -> None:
-        """Draw anew after a target refused this host's draw as fenced.
+        """Retire a site's draw after a target refused it as fenced.
 
-        A witness cut off from this host alone has its older draw sealed. The
+        A witness that lost contact with this host alone sealed an older draw. The
         fence covers this host's other draws as well, sealed or not; requests
         under them would be refused until they are used up.
         """
         self._budget.retire_draw(f"{SITE_ACCOUNT_PREFIX}{site}")
 
     def release(self, hold: PowerHold) -> None:
-        """Give watts back; the target has said that the request ended."""
+        """Release watts after the target has reported the end of the request."""
         if hold.reservation is not None:
             self._budget.settle(hold.reservation, 0)
 
     def release_when_ended(self, hold: PowerHold, target: TargetConfig) -> None:
-        """Keep asking the target to end a request, then give its watts back."""
+        """Ask the target until it has ended a request, then release its watts."""
         if hold.reservation is None:
             return
-        task = asyncio.create_task(self._end(hold, target))
+        task = asyncio.create_task(self._release_after_end(hold, target))
         self._blackboard.closing.add(task)
         task.add_done_callback(self._blackboard.closing.discard)
 
-    async def _end(self, hold: PowerHold, target: TargetConfig) -> None:
+    async def _release_after_end(self, hold: PowerHold, target: TargetConfig) -> None:
         closed_at = self._timer.now()
         while not await self._has_ended(hold, target, closed_at):
-            await asyncio.sleep(ASK_S)
+            await asyncio.sleep(ASK_INTERVAL_S)
         self.release(hold)
 
     async def _has_ended(
@@ -185,41 +185,41 @@
             return False
         if answer.ended:
             return True
-        # This host sends the request no more; only the network might still
-        # bring it. A target that does not remember the cancel would run it.
-        quiet_s = self._timer.now() - closed_at
-        return answer.state == "unknown" and quiet_s >= MAX_SEGMENT_LIFETIME_S
+        # This host no longer sends the request, but the network may still deliver
+        # it. A target that does not remember the cancellation would run it.
+        since_close_s = self._timer.now() - closed_at
+        return answer.state == "unknown" and since_close_s >= MAX_SEGMENT_LIFETIME_S
 
     def _is_over_ceiling(self, account: str) -> bool:
-        # After a ceiling was lowered, what is drawn may exceed it. A free
-        # watt of this host's draw must then go back, not to the next request.
+        # After a ceiling was lowered, the drawn watts may exceed it. Unheld watts of
+        # this host's draw must then be given back, not held for the next request.
         return self._count_free(account) < 0
 
     def _count_free(self, account: str) -> int:
-        number = self._streams.pick_number(account)
-        state = self._blackboard.ledgers[number].accounts.get(account)
+        ledger_number = self._streams.pick_number(account)
+        state = self._blackboard.ledgers[ledger_number].accounts.get(account)
         return 0 if state is None else state.free
 
     def _find_draw(self, reservation: Reservation) -> DrawState | None:
-        number = self._streams.pick_number(reservation.account)
-        return self._blackboard.ledgers[number].draws.get(reservation.draw)
+        ledger_number = self._streams.pick_number(reservation.account)
+        return self._blackboard.ledgers[ledger_number].draws.get(reservation.draw)
 
     async def _scan(self) -> None:
         live = self._list_live()
-        lost = self._note_missed(live)
-        for number, ledger in self._blackboard.ledgers.items():
+        lost = self._update_lost(live)
+        for ledger_number, ledger in self._blackboard.ledgers.items():
             for account in ledger.accounts:
                 if account.startswith(SITE_ACCOUNT_PREFIX):
-                    self._give_back_excess(account)
+                    self._return_excess(account)
             for name, draw in list(ledger.draws.items()):
                 if not is_site_draw(draw) or name in self._releasing:
                     continue
-                if is_mine(draw, self._blackboard.incarnation, live, lost):
+                if is_responsible(draw, self._blackboard.incarnation, live, lost):
                     self._start_release(
-                        number, describe_lost(name, draw, ledger.next_offset)
+                        ledger_number, make_lost_draw(name, draw, ledger.next_offset)
                     )
 
-    def _give_back_excess(self, account: str) -> None:
+    def _return_excess(self, account: str) -> None:
         if self._is_over_ceiling(account):
             self._budget.return_unheld(account)
 
@@ -231,16 +231,18 @@
         live[self._blackboard.incarnation] = self._blackboard.host
         return live
 
-    def _note_missed(self, live: dict[str, str]) -> frozenset[str]:
+    def _update_lost(self, live: dict[str, str]) -> frozenset[str]:
         now = self._timer.now()
-        seen: set[str] = set()
+        involved: set[str] = set()
         for ledger in self._blackboard.ledgers.values():
             for draw in ledger.draws.values():
                 if is_site_draw(draw):
-                    seen |= {draw.holder, draw.witness}
-        for incarnation in seen - set(live):
+                    involved |= {draw.holder, draw.witness}
+        for incarnation in involved - set(live):
             self._first_missed.setdefault(incarnation, now)
-        for incarnation in (seen & set(live)) | (set(self._first_missed) - seen):
+        for incarnation in (involved & set(live)) | (
+            set(self._first_missed) - involved
+        ):
             self._first_missed.pop(incarnation, None)
         return frozenset(
             incarnation
@@ -248,35 +250,35 @@
             if now - since >= self._lost_after_s
         )
 
-    def _start_release(self, number: int, lost: LostDraw) -> None:
-        task = asyncio.create_task(self._release_lost(number, lost))
+    def _start_release(self, ledger_number: int, lost: LostDraw) -> None:
+        task = asyncio.create_task(self._release_lost(ledger_number, lost))
         self._releasing[lost.name] = task
         task.add_done_callback(lambda _: self._releasing.pop(lost.name, None))
 
-    async def _release_lost(self, number: int, lost: LostDraw) -> None:
-        if not await self._is_over(lost):
+    async def _release_lost(self, ledger_number: int, lost: LostDraw) -> None:
+        if not await self._confirm_unused(lost):
             log_event(Event.POWER_IN_DOUBT, draw=lost.name, fencing=lost.fencing)
-            await asyncio.sleep(ASK_S)
+            await asyncio.sleep(ASK_INTERVAL_S)
             return
         record = Release(draw=lost.name, fencing=lost.fencing)
-        verdict = await self._streams.submit_ledger(number, record).future
+        verdict = await self._streams.submit_ledger(ledger_number, record).future
         if isinstance(verdict, Accepted):
             log_event(Event.POWER_RELEASED, draw=lost.name, fencing=lost.fencing)
 
-    async def _is_over(self, lost: LostDraw) -> bool:
+    async def _confirm_unused(self, lost: LostDraw) -> bool:
         targets = self._blackboard.configuration.targets
-        of_site = [name for name in targets if targets[name].site == lost.site]
-        for name in sorted(of_site if lost.requests is None else lost.requests):
-            # A target that was taken out of the configuration counts as off.
+        site_targets = [name for name in targets if targets[name].site == lost.site]
+        for name in sorted(site_targets if lost.requests is None else lost.requests):
+            # A target that was removed from the configuration counts as off.
             target = targets.get(name)
             if target is None:
                 continue
             requests = None if lost.requests is None else lost.requests[name]
-            if not await self._is_over_at(target, lost, requests):
+            if not await self._confirm_unused_at(target, lost, requests):
                 return False
         return True
 
-    async def _is_over_at(
+    async def _confirm_unused_at(
         self, target: TargetConfig, lost: LostDraw, requests: tuple[str, ...] | None
     ) -> bool:
         fence = await self._targets.fence(target, lost.holder, lost.fencing)
@@ -286,8 +288,8 @@
             return fence.active == 0
         if requests is None:
             return False
-        # This target would still run what a frozen holder sends on waking. So
-        # only a request that it knows to have ended is over; one that it has
-        # never seen keeps its watts charged until the holder itself settles.
+        # This target would still run what a suspended holder sends after it resumes.
+        # So only requests that the target reports as ended are over. A request that
+        # it has never received stays charged until the holder itself settles it.
         answers = [await self._targets.ask(target, request) for request in requests]
         return all(answer is not None and answer.ended for answer in answers)
--- a/trefoilstage/components/power/lost.py
+++ b/trefoilstage/components/power/lost_draws.py
@@ -1,4 +1,4 @@
-"""Find lost hosts' watts and what must confirm their end; pure."""
+"""Find the watts of lost hosts and what must end before they are free; pure."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -11,9 +11,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LostDraw:
-    """Name a lost host's draw and the requests that may still use its watts.
+    """Describe a lost host's draw and the requests that may still use its watts.
 
-    Requests are listed by target; None stands for targets that are not known.
+    Requests are listed by target; None means that the requests are unknown.
     """
 
     name: str
@@ -24,12 +24,12 @@
 
 
 def make_hold_key(target: str, request: str) -> str:
-    """Return the key that names a hold's target on the log."""
+    """Return the key that identifies a hold's target and request on the log."""
     return f"{target}{KEY_SEPARATOR}{request}"
 
 
 def group_holds(keys: Iterable[str]) -> dict[str, tuple[str, ...]]:
-    """Return the requests of hold keys by target."""
+    """Return the requests of hold keys, grouped by target."""
     grouped: dict[str, tuple[str, ...]] = {}
     for key in sorted(keys):
         target, _, request = key.partition(KEY_SEPARATOR)
@@ -38,14 +38,14 @@
 
 
 def is_site_draw(draw: DrawState) -> bool:
-    """Tell whether a draw holds watts."""
+    """Return whether a draw is on a site's account and so in watts."""
     return draw.account.startswith(SITE_ACCOUNT_PREFIX)
 
 
-def describe_lost(name: str, draw: DrawState, next_offset: int) -> LostDraw:
+def make_lost_draw(name: str, draw: DrawState, next_offset: int) -> LostDraw:
     """Return what must end before a lost host's draw is free.
 
-    The witness's seal names every request that may run. Without a seal nobody
+    The witness's seal lists every request that may run. Without a seal no host
     knows them, and each target of the site must refuse the holder.
     """
     sealed = draw.status is DrawStatus.SEALED
@@ -60,14 +60,14 @@
     )
 
 
-def is_mine(
+def is_responsible(
     draw: DrawState, incarnation: str, live: Mapping[str, str], lost: frozenset[str]
 ) -> bool:
-    """Tell whether this host asks the targets about a draw.
+    """Return whether this host asks the targets about a draw.
 
     `live` maps the live incarnations, this host's included, to host names;
-    `lost` holds the incarnations out of reach for long. Two hosts that both
-    think it theirs do no harm: what they report is true whoever reports it.
+    `lost` contains the incarnations that have been unreachable for long. Two
+    responsible hosts do no harm: what either reports is true.
     """
     if draw.witness == incarnation:
         return draw.status is DrawStatus.SEALED
