--- a/trefoilstage/components/routing/__init__.py
+++ b/trefoilstage/components/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Choose a target for a chat call by what prompts it has read and its load."""
+"""Choose a target for a chat request by its cached prompt prefixes and its load."""
--- a/trefoilstage/components/routing/choice.py
+++ b/trefoilstage/components/routing/choice.py
@@ -1,4 +1,4 @@
-"""Choose a target for a request; pure."""
+"""Choose a target for a request by a routing policy; pure."""
 
 import random
 from collections.abc import Mapping, Sequence
@@ -7,15 +7,17 @@
 
 from trefoilstage.configuration.schema import TargetConfig, TargetState
 
-N_CHOICES = 2
-# What a full batch costs a request, in prompt tokens that could be read in
-# the same time; it sets how much cached prefix outweighs how much load.
-FULL_LOAD_TOKENS = 8_000
-LOAD_BOUND = 1.25
+# The affinity policy compares up to this many cached and this many random targets.
+N_CANDIDATES_PER_GROUP = 2
+# Delay of a request at a fully loaded target, in prompt tokens that could be processed
+# in the same time. It weighs load against the length of the cached prefix.
+FULL_LOAD_COST_TOKENS = 8_000
+# A cached prefix is ignored at a target loaded above this multiple of the mean load.
+MAX_LOAD_TO_MEAN_RATIO = 1.25
 
 
 class RoutingPolicy(StrEnum):
-    """Name the ways to choose a target; all but the first are baselines."""
+    """List the routing policies; all but the first are baselines for comparison."""
 
     AFFINITY = "affinity"
     ROUND_ROBIN = "round-robin"
@@ -31,29 +33,33 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Option:
-    """Hold what is known of a candidate when a request is placed."""
+class ScoredCandidate:
+    """Describe a candidate for one request: its load and the prompt work expected."""
 
     candidate: Candidate
-    load: int
-    reported: int
+    n_running: int
+    n_reported: int
     n_new_tokens: int
     n_cached_tokens: int
-    pending_prompt: int
+    n_pending_tokens: int
 
     @property
-    def share(self) -> float:
-        """Return the used share of the target's room."""
-        return self.load / self.candidate.config.max_concurrent
+    def load_share(self) -> float:
+        """Return the estimated load as a share of the target's `max_concurrent`."""
+        return self.n_running / self.candidate.config.max_concurrent
 
     @property
-    def cost(self) -> float:
-        """Return the work before the first token, in prompt tokens."""
-        return self.pending_prompt + self.n_new_tokens + FULL_LOAD_TOKENS * self.share
+    def cost_tokens(self) -> float:
+        """Return the expected delay until the first output token, in prompt tokens."""
+        return (
+            self.n_pending_tokens
+            + self.n_new_tokens
+            + FULL_LOAD_COST_TOKENS * self.load_share
+        )
 
 
 def list_candidates(targets: Mapping[str, TargetConfig], model: str) -> list[Candidate]:
-    """Return the targets that may get new work for a model, by name."""
+    """Return the targets that may receive new requests for a model, sorted by name."""
     return [
         Candidate(name=name, config=config)
         for name, config in sorted(targets.items())
@@ -61,36 +67,46 @@
     ]
 
 
-def pick_option(
-    options: Sequence[Option],
+def select_candidate(
+    candidates: Sequence[ScoredCandidate],
     policy: RoutingPolicy,
-    number: int,
+    n_choices: int,
     generator: random.Random,
-) -> Option:
-    """Return the option that a policy prefers; `number` counts the choices."""
+) -> ScoredCandidate:
+    """Return the candidate that a policy selects.
+
+    Round robin selects by `n_choices`, the number of choices made so far.
+    """
     if policy is RoutingPolicy.ROUND_ROBIN:
-        return options[number % len(options)]
+        return candidates[n_choices % len(candidates)]
     if policy is RoutingPolicy.LEAST_REPORTED_LOAD:
-        least = min(option.reported for option in options)
+        lowest = min(item.n_reported for item in candidates)
         return generator.choice(
-            [option for option in options if option.reported == least]
+            [item for item in candidates if item.n_reported == lowest]
         )
-    return pick_by_affinity(options, generator)
+    return select_by_affinity(candidates, generator)
 
 
-def pick_by_affinity(options: Sequence[Option], generator: random.Random) -> Option:
-    """Return the cheapest of the best cached ones and a few at random.
+def select_by_affinity(
+    candidates: Sequence[ScoredCandidate], generator: random.Random
+) -> ScoredCandidate:
+    """Return the cheapest of the targets with the longest prefix and a random sample.
 
-    A target far above the mean load is left out of the cached ones: a popular
-    prefix would else pile up on one target while the others idle.
+    A target far above the mean load is not preferred for its cached prefix. Otherwise
+    all requests with a popular prefix would go to one target while others are idle.
     """
-    mean = sum(option.share for option in options) / len(options)
-    bound = LOAD_BOUND * mean + 1 / max(
-        option.candidate.config.max_concurrent for option in options
+    mean_share = sum(item.load_share for item in candidates) / len(candidates)
+    max_share = MAX_LOAD_TO_MEAN_RATIO * mean_share + 1 / max(
+        item.candidate.config.max_concurrent for item in candidates
     )
     cached = [
-        option for option in options if option.n_cached_tokens and option.share <= bound
+        item
+        for item in candidates
+        if item.n_cached_tokens and item.load_share <= max_share
     ]
-    cached.sort(key=lambda option: (-option.n_cached_tokens, option.cost))
-    drawn = generator.sample(options, min(N_CHOICES, len(options)))
-    return min([*cached[:N_CHOICES], *drawn], key=lambda option: option.cost)
+    cached.sort(key=lambda item: (-item.n_cached_tokens, item.cost_tokens))
+    sampled = generator.sample(candidates, min(N_CANDIDATES_PER_GROUP, len(candidates)))
+    return min(
+        [*cached[:N_CANDIDATES_PER_GROUP], *sampled],
+        key=lambda item: item.cost_tokens,
+    )
--- a/trefoilstage/components/routing/prefix.py
+++ b/trefoilstage/components/routing/prefix.py
@@ -1,4 +1,4 @@
-"""Remember which target has probably cached which prompt prefix; pure."""
+"""Track which targets have probably cached which prompt prefixes; pure."""
 
 from collections import OrderedDict
 from collections.abc import Iterable, Sequence
@@ -12,9 +12,10 @@
 
 
 def hash_blocks(contents: Iterable[str]) -> tuple[str, ...]:
-    """Return a hash for each whole block of a prompt, each over all before it.
+    """Return one hash for each complete block of a prompt.
 
-    The blocks and hashes are those that the engines name in cache events.
+    Each hash covers the prompt from its start to the end of the block, as the hashes
+    in the engines' cache events do.
     """
     data = "\n".join(contents).encode()
     state = xxhash.xxh3_64()
@@ -28,40 +29,44 @@
 
 
 class PrefixMap:
-    """Map block hashes to targets; approximate and bounded.
+    """Map block hashes to the targets that have cached them, up to a size limit.
 
-    Events come late and some never, so an entry is only a guess. A wrong one
-    costs a prompt read anew; it never costs correctness.
+    Cache events arrive late or not at all, so entries may be wrong. A wrong entry makes
+    a target process a prefix again; it does not affect correctness.
     """
 
-    def __init__(self, *, limit: int = MAX_BLOCKS) -> None:
-        self._limit = limit
-        self._targets: OrderedDict[str, set[str]] = OrderedDict()
+    def __init__(self, *, max_blocks: int = MAX_BLOCKS) -> None:
+        self._max_blocks = max_blocks
+        self._targets_by_block: OrderedDict[str, set[str]] = OrderedDict()
 
-    def add(self, target: str, blocks: Sequence[str]) -> None:
-        """Note that a target has read blocks."""
+    def add_blocks(self, target: str, blocks: Sequence[str]) -> None:
+        """Record that a target has processed the leading blocks of a prompt."""
         for block in reversed(blocks):
-            self._targets.setdefault(block, set()).add(target)
-            self._targets.move_to_end(block)
-        while len(self._targets) > self._limit:
-            self._targets.popitem(last=False)
+            self._targets_by_block.setdefault(block, set()).add(target)
+            self._targets_by_block.move_to_end(block)
+        while len(self._targets_by_block) > self._max_blocks:
+            self._targets_by_block.popitem(last=False)
 
-    def remove(self, target: str, block: str) -> None:
-        """Note that a target has evicted a block."""
-        targets = self._targets.get(block)
+    def remove_block(self, target: str, block: str) -> None:
+        """Record that a target has evicted a block."""
+        targets = self._targets_by_block.get(block)
         if targets is None:
             return
         targets.discard(target)
         if not targets:
-            del self._targets[block]
+            del self._targets_by_block[block]
 
-    def count_cached(self, target: str, blocks: Sequence[str]) -> int:
-        """Return how many leading blocks a target probably has."""
+    def count_cached_blocks(self, target: str, blocks: Sequence[str]) -> int:
+        """Return how many leading blocks a target has probably cached."""
         for number, block in enumerate(blocks):
-            if target not in self._targets.get(block, ()):
+            if target not in self._targets_by_block.get(block, ()):
                 return number
         return len(blocks)
 
-    def list_holders(self, blocks: Sequence[str]) -> frozenset[str]:
-        """Return the targets that probably have the first block."""
-        return frozenset(self._targets.get(blocks[0], ())) if blocks else frozenset()
+    def list_targets(self, blocks: Sequence[str]) -> frozenset[str]:
+        """Return the targets that have probably cached the first block."""
+        return (
+            frozenset(self._targets_by_block.get(blocks[0], ()))
+            if blocks
+            else frozenset()
+        )
--- a/trefoilstage/components/routing/reports.py
+++ b/trefoilstage/components/routing/reports.py
@@ -1,4 +1,4 @@
-"""Fetch the targets' late reports of load and cache events."""
+"""Fetch load reports and cache events from targets; both arrive with a lag."""
 
 import asyncio
 
@@ -10,12 +10,12 @@
 from trefoilstage.configuration.schema import TargetConfig
 from trefoilstage.timer import TimerService
 
-POLL_S = 1.0
-USED_S = 10.0
+POLL_INTERVAL_S = 1.0
+RECENT_USE_S = 10.0
 
 
 class ReportController(Service):
-    """Ask each target that this host used of late."""
+    """Poll each target that this host used recently."""
 
     def __init__(
         self,
@@ -33,35 +33,37 @@
         self._next_events: dict[str, int] = {}
 
     async def on_start(self) -> None:
-        """Start asking."""
+        """Start polling."""
         self._unsubscribe = self._timer.subscribe(
-            name="reports", interval_s=POLL_S, callback=self._poll
+            name="reports", interval_s=POLL_INTERVAL_S, callback=self._poll
         )
 
     async def on_stop(self) -> None:
-        """Stop asking."""
+        """Stop polling."""
         self._unsubscribe()
 
     async def _poll(self) -> None:
-        oldest = self._timer.now() - USED_S
+        used_since = self._timer.now() - RECENT_USE_S
         targets = self._blackboard.configuration.targets
-        used = [
+        recent_targets = [
             (name, targets[name])
             for name, status in self._blackboard.targets.items()
-            if name in targets and status.last_used >= oldest
+            if name in targets and status.last_used >= used_since
         ]
-        await asyncio.gather(*(self._poll_target(name, item) for name, item in used))
+        await asyncio.gather(
+            *(self._poll_target(name, target) for name, target in recent_targets)
+        )
 
     async def _poll_target(self, name: str, target: TargetConfig) -> None:
         report = await self._targets.get_load(target)
         if report is not None:
             load = self._router.get_status(name).load
             load.note_report(self._timer.now(), report.running, report.lag_s)
-        first = self._next_events.get(name, 0)
-        answer = await self._targets.get_cache_events(target, first)
-        if answer is None:
+        first_event = self._next_events.get(name, 0)
+        page = await self._targets.get_cache_events(target, first_event)
+        if page is None:
             return
-        # A target that started anew counts from zero again.
-        self._next_events[name] = answer.next if answer.next >= first else 0
-        for event in answer.events:
-            self._router.note_event(name, event)
+        # A target numbers its events from zero again after a restart.
+        self._next_events[name] = page.next if page.next >= first_event else 0
+        for event in page.events:
+            self._router.record_cache_event(name, event)
--- a/trefoilstage/components/routing/router.py
+++ b/trefoilstage/components/routing/router.py
@@ -1,4 +1,4 @@
-"""Choose targets by what this host knows of them."""
+"""Choose targets by the load, health and cached prefixes known to this host."""
 
 import random
 from dataclasses import dataclass
@@ -6,10 +6,10 @@
 from trefoilstage.blackboard import Blackboard, TargetStatus
 from trefoilstage.components.routing.choice import (
     Candidate,
-    Option,
     RoutingPolicy,
+    ScoredCandidate,
     list_candidates,
-    pick_option,
+    select_candidate,
 )
 from trefoilstage.components.routing.prefix import (
     BLOCK_TOKENS,
@@ -19,13 +19,13 @@
 from trefoilstage.components.targets.models import CacheEvent, Job
 from trefoilstage.helpers.verdict import Reason, Refusal
 
-RETRY_AFTER_S = 1.0
+MIN_RETRY_AFTER_S = 1.0
 BYTES_PER_TOKEN = 4
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Choice:
-    """Name the chosen target and the prompt work expected there."""
+class ChosenTarget:
+    """Describe the chosen target and the number of prompt tokens not cached there."""
 
     candidate: Candidate
     blocks: tuple[str, ...]
@@ -33,7 +33,7 @@
 
 
 class Router:
-    """Keep loads, health and prefixes by target, and choose among them."""
+    """Record the load, health and cached prefixes of targets, and choose among them."""
 
     def __init__(
         self,
@@ -45,40 +45,47 @@
         self._blackboard = blackboard
         self._policy = policy
         self._generator = generator
-        self._prefixes = PrefixMap()
+        self._prefix_map = PrefixMap()
         self._n_choices = 0
 
     def choose(
         self, job: Job, excluded: frozenset[str], now: float, *, retry: bool
-    ) -> Choice | Refusal:
-        """Return a target with room, or say whether waiting may help."""
+    ) -> ChosenTarget | Refusal:
+        """Return a target with free capacity, or a refusal if there is none."""
         candidates = self._list_candidates(job, excluded)
-        able = [
+        available = [
             candidate
             for candidate in candidates
             if self.get_status(candidate.name).health.may_send(now, retry=retry)
         ]
-        if not able and not retry:
-            able = self._list_probes(candidates)
-        if not able:
-            return self._refuse(candidates, now, retry=retry)
+        if not available and not retry:
+            available = self._list_probe_candidates(candidates)
+        if not available:
+            return self._make_refusal(candidates, now, retry=retry)
         blocks = hash_blocks(job.contents)
-        options = [self._describe(candidate, job, blocks, now) for candidate in able]
-        free = [option for option in options if option.share < 1.0]
-        if not free:
+        scored = [
+            self._score_candidate(candidate, job, blocks, now)
+            for candidate in available
+        ]
+        with_capacity = [item for item in scored if item.load_share < 1.0]
+        if not with_capacity:
             return Refusal(reason=Reason.OVERLOADED)
         self._n_choices += 1
-        option = pick_option(free, self._policy, self._n_choices, self._generator)
-        return Choice(
-            candidate=option.candidate, blocks=blocks, n_new_tokens=option.n_new_tokens
+        selected = select_candidate(
+            with_capacity, self._policy, self._n_choices, self._generator
+        )
+        return ChosenTarget(
+            candidate=selected.candidate,
+            blocks=blocks,
+            n_new_tokens=selected.n_new_tokens,
         )
 
     def get_status(self, name: str) -> TargetStatus:
-        """Return what this host knows of a target."""
+        """Return the status of a target as this host knows it."""
         return self._blackboard.targets.setdefault(name, TargetStatus())
 
     def count_active(self, model: str) -> int:
-        """Return this host's active requests for a model."""
+        """Return the number of this host's active requests for a model."""
         targets = self._blackboard.configuration.targets
         return sum(
             status.load.active
@@ -87,42 +94,44 @@
         )
 
     def list_site(self, site: str) -> frozenset[str]:
-        """Return the targets of a site."""
+        """Return the names of the targets at a site."""
         targets = self._blackboard.configuration.targets
         return frozenset(name for name in targets if targets[name].site == site)
 
     def note_start(self, name: str, now: float, *, retry: bool) -> None:
-        """Count a request that is about to go to a target."""
+        """Record that a request is about to be sent to a target."""
         status = self.get_status(name)
         status.load.note_active(now, 1)
         status.health.start(retry=retry)
         status.last_used = now
 
     def note_unsent(self, name: str, now: float) -> None:
-        """Count a request that did not go after all."""
+        """Remove a request that was counted as started but was not sent."""
         status = self.get_status(name)
         status.load.note_active(now, -1)
         status.health.note_dropped()
 
     def note_end(self, name: str, now: float) -> None:
-        """Count a request that ended."""
+        """Record that a request at a target has ended."""
         self.get_status(name).load.note_active(now, -1)
 
-    def note_prompt(self, name: str, blocks: tuple[str, ...], n_tokens: int) -> None:
-        """Count a prompt that a target is about to read."""
-        self._prefixes.add(name, blocks)
+    def record_prompt_sent(
+        self, name: str, blocks: tuple[str, ...], n_tokens: int
+    ) -> None:
+        """Record that a prompt with `n_tokens` uncached tokens is being sent."""
+        self._prefix_map.add_blocks(name, blocks)
         self.get_status(name).load.pending_prompt += n_tokens
 
-    def note_prompt_read(self, name: str, n_tokens: int) -> None:
-        """Count a prompt that a target has read or will not read."""
+    def record_prompt_read(self, name: str, n_tokens: int) -> None:
+        """Record that a target has processed a prompt or will not process it."""
         self.get_status(name).load.pending_prompt -= n_tokens
 
-    def note_event(self, name: str, event: CacheEvent) -> None:
-        """Take a target's late word on one block."""
+    def record_cache_event(self, name: str, event: CacheEvent) -> None:
+        """Apply a cache event of a target."""
         if event.kind == "stored":
-            self._prefixes.add(name, (event.block,))
+            self._prefix_map.add_blocks(name, (event.block,))
         else:
-            self._prefixes.remove(name, event.block)
+            self._prefix_map.remove_block(name, event.block)
 
     def _list_candidates(self, job: Job, excluded: frozenset[str]) -> list[Candidate]:
         targets = self._blackboard.configuration.targets
@@ -133,41 +142,43 @@
             and (not job.urls or candidate.config.url in job.urls)
         ]
 
-    def _list_probes(self, candidates: list[Candidate]) -> list[Candidate]:
-        """Return the targets to probe early, when every target is ejected.
+    def _list_probe_candidates(self, candidates: list[Candidate]) -> list[Candidate]:
+        """Return the targets to probe early because every candidate is ejected.
 
-        Pausing helps only while another target takes the work. With none left,
-        each request would be refused although a target may be well again.
+        An ejection is useful only while another target can take the requests. With
+        none left, all requests would be refused although a target may have recovered.
         """
         healths = [(item, self.get_status(item.name).health) for item in candidates]
         if any(health.ejected_until is None for _, health in healths):
             return []
         return [item for item, health in healths if not health.probing]
 
-    def _describe(
+    def _score_candidate(
         self, candidate: Candidate, job: Job, blocks: tuple[str, ...], now: float
-    ) -> Option:
+    ) -> ScoredCandidate:
         load = self.get_status(candidate.name).load
-        n_cached = self._prefixes.count_cached(candidate.name, blocks) * BLOCK_TOKENS
-        n_prompt = job.n_prompt // BYTES_PER_TOKEN
-        return Option(
+        n_cached_tokens = (
+            self._prefix_map.count_cached_blocks(candidate.name, blocks) * BLOCK_TOKENS
+        )
+        n_prompt_tokens = job.n_prompt // BYTES_PER_TOKEN
+        return ScoredCandidate(
             candidate=candidate,
-            load=load.estimate(now),
-            reported=load.reported,
-            n_new_tokens=max(0, n_prompt - n_cached),
-            n_cached_tokens=n_cached,
-            pending_prompt=load.pending_prompt,
+            n_running=load.estimate(now),
+            n_reported=load.reported,
+            n_new_tokens=max(0, n_prompt_tokens - n_cached_tokens),
+            n_cached_tokens=n_cached_tokens,
+            n_pending_tokens=load.pending_prompt,
         )
 
-    def _refuse(
+    def _make_refusal(
         self, candidates: list[Candidate], now: float, *, retry: bool
     ) -> Refusal:
         healths = [self.get_status(item.name).health for item in candidates]
-        # A target that only said "full" will have room again in a moment.
+        # A target that is only at capacity is expected to have room again shortly.
         if not retry and any(health.ejected_until is None for health in healths):
             return Refusal(reason=Reason.OVERLOADED)
         waits = [health.count_wait(now) for health in healths]
         return Refusal(
             reason=Reason.NO_TARGET,
-            retry_after_s=max(RETRY_AFTER_S, min(waits, default=0.0)),
+            retry_after_s=max(MIN_RETRY_AFTER_S, min(waits, default=0.0)),
         )
--- a/trefoilstage/components/targets/dispatcher.py
+++ b/trefoilstage/components/targets/dispatcher.py
@@ -132,13 +132,13 @@
         delivery.target = name
         ended = False
         unread = place.n_new_tokens
-        self._router.note_prompt(name, place.blocks, unread)
+        self._router.record_prompt_sent(name, place.blocks, unread)
         try:
             generation = self._make_generation(job, place)
             stream = self._targets.generate(place.candidate.config, generation)
             async with aclosing(stream) as chunks:
                 async for chunk in chunks:
-                    self._router.note_prompt_read(name, unread)
+                    self._router.record_prompt_read(name, unread)
                     unread = 0
                     delivery.usage = chunk.usage or delivery.usage
                     yield chunk
@@ -149,7 +149,7 @@
             delivery.target = ""
             raise
         finally:
-            self._router.note_prompt_read(name, unread)
+            self._router.record_prompt_read(name, unread)
             self._end(job, place, ended=ended, served=delivery.usage is not None)
 
     def _end(self, job: Job, place: Place, *, ended: bool, served: bool) -> None:
