--- a/tests/components/targets/test_directory.py
+++ b/tests/components/targets/test_directory.py
@@ -1,11 +1,11 @@
-"""Test which registered targets get new work."""
+"""Test which registered targets receive new requests."""
 
 import unittest
 
 from tests.components.forwarding.common import make_target
 from trefoilstage.components.forwarding.models import TargetEntry, TargetPhase
 from trefoilstage.components.targets.directory import (
-    MAX_KNOWN_STARTS,
+    MAX_TRACKED_NAMES,
     TargetDirectory,
 )
 
@@ -13,55 +13,55 @@
 
 
 class TargetDirectoryTest(unittest.TestCase):
-    """Test leaving, lapsed and returned targets."""
+    """Test draining, removed, expired and returned targets."""
 
     def setUp(self) -> None:
-        """List one target."""
+        """Register one target."""
         self.targets = TargetDirectory()
         self.targets.add(make_target("engine-0"))
 
     def list_names(self, now: float) -> list[str]:
-        """Return the names of the targets that may get work."""
+        """Return the names of the targets that may receive requests."""
         return [item.name for item in self.targets.list_ready("assistant", now)]
 
-    def test_draining_target_gets_nothing(self) -> None:
-        """List a target as draining; it gets no work from then on."""
+    def test_draining_target_receives_no_requests(self) -> None:
+        """Guard against requests to a target that has announced that it is leaving."""
         self.targets.add(make_target("engine-0", phase=TargetPhase.DRAINING))
         self.assertEqual(self.list_names(1.0), [])
 
-    def test_dropped_target_gets_nothing(self) -> None:
-        """Drop an entry while the store is well: the target has left."""
+    def test_removed_target_receives_no_requests(self) -> None:
+        """Guard against using a target that was removed outside an outage."""
         self.targets.drop("engine-0", 100.0, NEVER)
         self.assertEqual(self.list_names(100.0), [])
 
-    def test_lapsed_target_is_used_until_it_could_be_back(self) -> None:
-        """Drop an entry right after an outage of the store.
+    def test_expired_target_is_used_for_the_grace_period(self) -> None:
+        """Guard against losing all targets after an outage of the store.
 
-        It may only have lapsed meanwhile, and a live target is back within 2 s.
-        It is used that long, and taken for gone after that.
+        The entry may only have expired during the outage, and a live target registers
+        again within 2 s. Until then the target is used; afterwards it counts as gone.
         """
         self.targets.drop("engine-0", 100.1, 100.0)
         self.assertEqual(self.list_names(101.9), ["engine-0"])
         self.assertEqual(self.list_names(102.1), [])
 
-    def test_target_draining_before_the_outage_has_left(self) -> None:
-        """Drop a target after an outage that had said that it leaves."""
+    def test_target_draining_before_the_outage_is_not_used(self) -> None:
+        """Guard against using a draining target whose entry expires in an outage."""
         self.targets.add(make_target("engine-0", phase=TargetPhase.DRAINING))
         self.targets.drop("engine-0", 100.1, 100.0)
         self.assertEqual(self.list_names(100.2), [])
 
-    def test_returned_target_is_used_for_good(self) -> None:
-        """List a lapsed target again within the time."""
+    def test_returned_target_is_used_beyond_the_grace_period(self) -> None:
+        """Guard against a grace period that still ends after the target returned."""
         self.targets.drop("engine-0", 100.1, 100.0)
         self.targets.add(make_target("engine-0"))
         self.assertEqual(self.list_names(200.0), ["engine-0"])
 
 
 class RestartTest(unittest.TestCase):
-    """Test targets that start again under the name that they had."""
+    """Test targets that restart under the same name."""
 
     def setUp(self) -> None:
-        """List a target that started again at another address."""
+        """Register a target that restarted at another address."""
         self.targets = TargetDirectory()
         self.old = make_target("engine-0", started_ms=1_000)
         self.new = make_target("engine-0", started_ms=2_000, address="127.0.0.1:2")
@@ -69,32 +69,32 @@
         self.targets.add(self.new)
 
     def list_ready(self, now: float = 1.0) -> list[TargetEntry]:
-        """Return the entries that may get work."""
+        """Return the entries of the targets that may receive requests."""
         return self.targets.list_ready("assistant", now)
 
-    def test_late_news_of_the_old_start_changes_nothing(self) -> None:
-        """Land a heartbeat of the ended incarnation after its successor's.
+    def test_delayed_entry_of_the_previous_start_is_ignored(self) -> None:
+        """Guard against a heartbeat that arrives after its successor's.
 
-        Taken in, requests would go to the old address, or to none if it said that
-        it was draining.
+        Applied, it would send requests to the previous address, or to none if the
+        ended incarnation was draining.
         """
-        leaving = make_target("engine-0", started_ms=1_000, phase=TargetPhase.DRAINING)
-        self.assertFalse(self.targets.add(leaving))
+        draining = make_target("engine-0", started_ms=1_000, phase=TargetPhase.DRAINING)
+        self.assertFalse(self.targets.add(draining))
         self.assertEqual(self.list_ready(), [self.new])
 
-    def test_late_news_after_the_new_start_was_dropped(self) -> None:
-        """Drop the new start's entry, then land the old one's heartbeat."""
+    def test_delayed_entry_after_the_new_entry_was_removed(self) -> None:
+        """Guard against a delayed heartbeat that relists a removed target."""
         self.targets.drop("engine-0", 100.0, NEVER)
         self.assertFalse(self.targets.add(self.old))
         self.assertEqual(self.list_ready(), [])
 
-    def test_start_by_a_clock_set_back_is_used_once_the_other_is_out_of_reach(
+    def test_start_after_clock_was_set_back_is_used_once_latest_is_unreachable(
         self,
     ) -> None:
-        """Start a target again whose clock was set back meanwhile, at a new address.
+        """Guard against never using a target that restarted with its clock set back.
 
-        By its start it looks like late news of a former incarnation, and it registers
-        only once: passed over, the target stayed unlisted for the rest of its life.
+        Its entry looks like a delayed entry of a previous incarnation, and it registers
+        only once. When the entry was ignored, the target stayed unlisted permanently.
         """
         again = make_target("engine-0", started_ms=1_500, address="127.0.0.1:3")
         self.assertFalse(self.targets.add(again))
@@ -108,33 +108,34 @@
         self.assertFalse(self.targets.add(again))
         self.assertFalse(self.targets.give_way(third))
 
-    def test_late_news_of_a_start_never_seen_gives_way_again(self) -> None:
-        """Lose a connection to a live target after late news of an ended incarnation.
+    def test_delayed_entry_of_an_unknown_start_is_replaced_again(self) -> None:
+        """Guard against losing a live target permanently to a delayed entry.
 
-        This host never saw that one, as it started later. It is tried, can't be
-        reached, and gives way in turn; the live target must not be lost for good.
+        This host started later than the ended incarnation and never saw it. After a
+        lost connection to the live target, the ended one is tried, can't be reached
+        either, and the live target is used again.
         """
-        late = make_target("engine-0", started_ms=1_500, address="127.0.0.1:3")
-        self.targets.add(late)
+        delayed = make_target("engine-0", started_ms=1_500, address="127.0.0.1:3")
+        self.targets.add(delayed)
         self.assertTrue(self.targets.give_way(self.new))
         self.assertFalse(self.targets.give_way(self.new))
-        self.assertTrue(self.targets.give_way(late))
+        self.assertTrue(self.targets.give_way(delayed))
         self.assertEqual(self.list_ready(), [self.new])
 
-    def test_start_that_was_replaced_or_leaves_is_no_other(self) -> None:
-        """Lose a connection after late news of a start that was seen, or of its leave.
+    def test_replaced_or_draining_start_is_not_used(self) -> None:
+        """Guard against using a start that was replaced before, or that is draining.
 
-        Used, requests would go to a target that has told that it leaves.
+        Requests would go to a target that has ended or announced that it is leaving.
         """
         self.targets.add(self.old)
         self.assertFalse(self.targets.give_way(self.new))
-        leaving = make_target("engine-0", started_ms=1_500, phase=TargetPhase.DRAINING)
-        self.targets.add(leaving)
+        draining = make_target("engine-0", started_ms=1_500, phase=TargetPhase.DRAINING)
+        self.targets.add(draining)
         self.assertFalse(self.targets.give_way(self.new))
         self.assertEqual(self.list_ready(), [self.new])
 
-    def test_news_of_the_latest_start_and_its_end_forget_the_other(self) -> None:
-        """Hear of the latest start after an earlier one, or that its entry is gone."""
+    def test_entry_or_removal_of_the_latest_start_clears_the_other(self) -> None:
+        """Guard against using an earlier start after an update of the latest one."""
         again = make_target("engine-0", started_ms=1_500)
         for forget in (
             lambda: self.targets.add(self.new),
@@ -147,13 +148,13 @@
             self.assertEqual(self.list_ready(), [])
             self.targets.add(self.new)
 
-    def test_start_without_another_stays(self) -> None:
-        """Lose a connection to a target of which no other start was seen."""
+    def test_only_known_start_stays_listed(self) -> None:
+        """Guard against unlisting a target after one lost connection."""
         self.assertFalse(self.targets.give_way(self.new))
         self.assertEqual(self.list_ready(), [self.new])
 
-    def test_draining_target_that_restarts_gets_work_again(self) -> None:
-        """Let a target drain, end, and start again under its name."""
+    def test_draining_target_receives_requests_after_a_restart(self) -> None:
+        """Guard against a draining phase that outlasts a restart."""
         self.targets.add(
             make_target("engine-0", started_ms=2_000, phase=TargetPhase.DRAINING)
         )
@@ -162,26 +163,27 @@
         self.targets.add(again)
         self.assertEqual(self.list_ready(), [again])
 
-    def test_answer_at_the_old_address_does_not_remove_the_new_start(self) -> None:
-        """Send to the old address, which another target has taken meanwhile.
+    def test_response_at_the_previous_address_keeps_the_new_start(self) -> None:
+        """Guard against removing the new start for a response at the previous address.
 
-        Its answer says so after the new start was listed, which stays in use.
+        Another target has taken that address, and its response arrives after the new
+        start was listed.
         """
         self.targets.remove(self.old)
         self.assertEqual(self.list_ready(), [self.new])
         self.targets.remove(self.new)
         self.assertEqual(self.list_ready(), [])
 
-    def test_other_start_is_used_where_the_address_has_another_target(self) -> None:
-        """Let another target answer at the address of the later start."""
+    def test_other_start_is_used_if_another_target_has_the_address(self) -> None:
+        """Guard against losing a target when another one has the latest address."""
         again = make_target("engine-0", started_ms=1_500, address="127.0.0.1:3")
         self.targets.add(again)
         self.targets.remove(self.new)
         self.assertEqual(self.list_ready(), [again])
 
-    def test_known_starts_are_bounded(self) -> None:
-        """List very many names one after the other."""
-        for number in range(MAX_KNOWN_STARTS + 5):
+    def test_number_of_tracked_names_is_limited(self) -> None:
+        """Guard against memory that grows with each new name."""
+        for number in range(MAX_TRACKED_NAMES + 5):
             self.targets.add(make_target(f"t-{number}", started_ms=1))
             self.targets.drop(f"t-{number}", 100.0, NEVER)
-        self.assertEqual(len(self.targets.starts), MAX_KNOWN_STARTS)
+        self.assertEqual(len(self.targets.starts), MAX_TRACKED_NAMES)
--- a/trefoilstage/components/routing/reports.py
+++ b/trefoilstage/components/routing/reports.py
@@ -58,7 +58,7 @@
         report = await self._targets.get_load(target)
         if report is not None:
             load = self._router.get_status(name).load
-            load.note_report(self._timer.now(), report.running, report.lag_s)
+            load.record_report(self._timer.now(), report.running, report.lag_s)
         first_event = self._next_events.get(name, 0)
         page = await self._targets.get_cache_events(target, first_event)
         if page is None:
--- a/trefoilstage/components/routing/router.py
+++ b/trefoilstage/components/routing/router.py
@@ -101,19 +101,19 @@
     def note_start(self, name: str, now: float, *, retry: bool) -> None:
         """Record that a request is about to be sent to a target."""
         status = self.get_status(name)
-        status.load.note_active(now, 1)
+        status.load.record_active_change(now, 1)
         status.health.start(retry=retry)
         status.last_used = now
 
     def note_unsent(self, name: str, now: float) -> None:
         """Remove a request that was counted as started but was not sent."""
         status = self.get_status(name)
-        status.load.note_active(now, -1)
+        status.load.record_active_change(now, -1)
         status.health.note_dropped()
 
     def note_end(self, name: str, now: float) -> None:
         """Record that a request at a target has ended."""
-        self.get_status(name).load.note_active(now, -1)
+        self.get_status(name).load.record_active_change(now, -1)
 
     def record_prompt_sent(
         self, name: str, blocks: tuple[str, ...], n_tokens: int
@@ -163,7 +163,7 @@
         n_prompt_tokens = job.n_prompt // BYTES_PER_TOKEN
         return ScoredCandidate(
             candidate=candidate,
-            n_running=load.estimate(now),
+            n_running=load.estimate_running(now),
             n_reported=load.reported,
             n_new_tokens=max(0, n_prompt_tokens - n_cached_tokens),
             n_cached_tokens=n_cached_tokens,
@@ -177,7 +177,7 @@
         # A target that is only at capacity is expected to have room again shortly.
         if not retry and any(health.ejected_until is None for health in healths):
             return Refusal(reason=Reason.OVERLOADED)
-        waits = [health.count_wait(now) for health in healths]
+        waits = [health.compute_wait_s(now) for health in healths]
         return Refusal(
             reason=Reason.NO_TARGET,
             retry_after_s=max(MIN_RETRY_AFTER_S, min(waits, default=0.0)),
--- a/trefoilstage/components/targets/__init__.py
+++ b/trefoilstage/components/targets/__init__.py
@@ -1,1 +1,1 @@
-"""Know the targets: which may get work, whether they answer, what they hold."""
+"""Track targets and their health and load, and run requests at them."""
--- a/trefoilstage/components/targets/client.py
+++ b/trefoilstage/components/targets/client.py
@@ -1,4 +1,4 @@
-"""Send work to model engines over HTTP."""
+"""Send requests to targets (model engines) over HTTP."""
 
 import asyncio
 from collections.abc import AsyncGenerator, AsyncIterator, Mapping
@@ -8,16 +8,16 @@
 from pydantic import BaseModel, ValidationError
 
 from trefoilstage.components.targets.models import (
-    CacheEventsAnswer,
+    CacheEventsPage,
     Chunk,
     ChunkBody,
-    FenceAnswer,
+    FenceResponse,
     Generation,
-    HealthAnswer,
-    LoadAnswer,
-    RequestAnswer,
+    HealthResponse,
+    LoadReport,
+    RequestStatus,
     Role,
-    RoleAnswer,
+    RoleResponse,
 )
 from trefoilstage.configuration.schema import TargetConfig
 from trefoilstage.const import (
@@ -37,22 +37,22 @@
 HTTP_GONE = 410
 HTTP_TOO_MANY = 429
 HTTP_UNAVAILABLE = 503
-ORDER_TIMEOUT_S = 1.0
+CONTROL_TIMEOUT_S = 1.0
 CONNECT_TIMEOUT_S = 1.0
 END_OF_STREAM = b"[DONE]"
 DATA_PREFIX = b"data:"
 
-AnswerT = TypeVar("AnswerT", bound=BaseModel)
+ResponseT = TypeVar("ResponseT", bound=BaseModel)
 
 
-NOT_CONNECTED_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
-REFUSING_STATUSES = frozenset(
+CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
+REFUSAL_STATUSES = frozenset(
     {HTTP_CONFLICT, HTTP_GONE, HTTP_TOO_MANY, HTTP_UNAVAILABLE}
 )
 
 
 class TargetRefusedError(NotReadyError):
-    """Report that a target did not take a request; it ran nothing."""
+    """Report that a target refused a request and ran no part of it."""
 
     def __init__(self, detail: str, *, status: int | None = None) -> None:
         super().__init__(detail)
@@ -60,26 +60,26 @@
 
     @property
     def is_fenced(self) -> bool:
-        """Tell whether the target refused an old fencing number."""
+        """Return whether the target refused an outdated fencing number."""
         return self.status == HTTP_CONFLICT
 
     @property
     def is_busy(self) -> bool:
-        """Tell whether the target only lacked room."""
+        """Return whether the target refused only for lack of capacity."""
         return self.status == HTTP_TOO_MANY
 
     @property
     def is_leaving(self) -> bool:
-        """Tell whether the target takes no new work any more."""
+        """Return whether the target is leaving and accepts no new requests."""
         return self.status == HTTP_GONE
 
 
 class TargetBrokenError(TrefoilstageError):
-    """Report that a target's answer broke off; it may have run something."""
+    """Report that a target's response failed; the request may have run in part."""
 
 
 class TargetClient:
-    """Open, read and cancel generations."""
+    """Run and cancel requests at targets, and query and control the targets."""
 
     def __init__(self, *, session: aiohttp.ClientSession) -> None:
         self._session = session
@@ -87,7 +87,11 @@
     async def generate(
         self, target: TargetConfig, generation: Generation
     ) -> AsyncGenerator[Chunk, None]:
-        """Yield the chunks of an answer up to its explicit end."""
+        """Yield the chunks of a streamed response until its end marker.
+
+        Raise TargetRefusedError if the target ran nothing, TargetBrokenError if it may
+        have run the request.
+        """
         headers = {
             HEADER_REQUEST_ID: generation.request,
             HEADER_WORKSPACE: generation.workspace,
@@ -100,10 +104,10 @@
         url = f"{target.url}/v1/chat/completions"
         try:
             async with await self._post(url, headers, generation) as response:
-                check_status(response.status)
+                raise_for_status(response.status)
                 async for chunk in read_chunks(response.content, generation.request):
                     yield chunk
-        except NOT_CONNECTED_ERRORS as error:
+        except CONNECT_ERRORS as error:
             raise TargetRefusedError(repr(error)) from error
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
             raise TargetBrokenError(repr(error)) from error
@@ -111,9 +115,9 @@
     async def _post(
         self, url: str, headers: dict[str, str], generation: Generation
     ) -> aiohttp.ClientResponse:
-        """Send a request, over a new connection if this host stood still meanwhile."""
+        """Send a request; connect again if this process stalled while connecting."""
         loop = asyncio.get_running_loop()
-        give_up_at = loop.time() + generation.timeout_s
+        deadline = loop.time() + generation.timeout_s
         while True:
             attempt = Attempt(once=False)
             try:
@@ -122,15 +126,15 @@
                     data=generation.body,
                     headers=headers,
                     timeout=aiohttp.ClientTimeout(
-                        total=give_up_at - loop.time(), sock_connect=CONNECT_TIMEOUT_S
+                        total=deadline - loop.time(), sock_connect=CONNECT_TIMEOUT_S
                     ),
-                    # A followed redirect would run the request at two targets.
+                    # Following a redirect could run the request at two targets.
                     allow_redirects=False,
                     trace_request_ctx=attempt,
                 )
             except aiohttp.ConnectionTimeoutError:
-                stalled = attempt.was_stalled(CONNECT_TIMEOUT_S)
-                if not stalled or loop.time() >= give_up_at:
+                was_stalled = attempt.was_stalled(CONNECT_TIMEOUT_S)
+                if not was_stalled or loop.time() >= deadline:
                     raise
                 log_event(
                     Event.CONNECT_REPEATED,
@@ -139,56 +143,60 @@
                     url=url,
                 )
 
-    async def cancel(self, target: TargetConfig, request: str) -> RequestAnswer | None:
-        """End a request at its target; return how it stands, None if not known."""
+    async def cancel(self, target: TargetConfig, request: str) -> RequestStatus | None:
+        """Cancel a request at its target; return its status, None if unknown."""
         path = f"/v1/requests/{request}/cancel"
-        return await self._order("POST", target, path, RequestAnswer)
+        return await self._request_json("POST", target, path, RequestStatus)
 
-    async def ask(self, target: TargetConfig, request: str) -> RequestAnswer | None:
-        """Return how a request stands at its target, None if not known."""
-        return await self._order(
-            "GET", target, f"/v1/requests/{request}", RequestAnswer
+    async def ask(self, target: TargetConfig, request: str) -> RequestStatus | None:
+        """Return the status of a request at its target, None if unknown."""
+        return await self._request_json(
+            "GET", target, f"/v1/requests/{request}", RequestStatus
         )
 
     async def fence(
         self, target: TargetConfig, incarnation: str, fencing: int
-    ) -> FenceAnswer | None:
-        """Have a target refuse an incarnation up to a fencing number."""
-        order = {"incarnation": incarnation, "fencing": fencing}
-        return await self._order("POST", target, "/v1/fence", FenceAnswer, body=order)
+    ) -> FenceResponse | None:
+        """Make a target refuse requests of an incarnation up to a fencing number."""
+        body = {"incarnation": incarnation, "fencing": fencing}
+        return await self._request_json(
+            "POST", target, "/v1/fence", FenceResponse, body=body
+        )
 
-    async def get_health(self, target: TargetConfig) -> HealthAnswer | None:
-        """Return what a target says of itself, None if it says nothing."""
-        return await self._order("GET", target, "/v1/health", HealthAnswer)
+    async def get_health(self, target: TargetConfig) -> HealthResponse | None:
+        """Return a target's health, None if it does not respond properly."""
+        return await self._request_json("GET", target, "/v1/health", HealthResponse)
 
     async def change_role(
         self, target: TargetConfig, role: Role, revision: int
-    ) -> RoleAnswer | None:
-        """Order a target to a role as of a configuration revision."""
-        order = {"role": role.value, "revision": revision}
-        return await self._order("POST", target, "/v1/role", RoleAnswer, body=order)
+    ) -> RoleResponse | None:
+        """Set a target's role as of a configuration revision."""
+        body = {"role": role.value, "revision": revision}
+        return await self._request_json(
+            "POST", target, "/v1/role", RoleResponse, body=body
+        )
 
-    async def get_load(self, target: TargetConfig) -> LoadAnswer | None:
-        """Return a target's late report of its load."""
-        return await self._order("GET", target, "/v1/load", LoadAnswer)
+    async def get_load(self, target: TargetConfig) -> LoadReport | None:
+        """Return a target's load report, which lags behind its actual load."""
+        return await self._request_json("GET", target, "/v1/load", LoadReport)
 
     async def get_cache_events(
         self, target: TargetConfig, first: int
-    ) -> CacheEventsAnswer | None:
-        """Return a target's late cache events from a number on."""
+    ) -> CacheEventsPage | None:
+        """Return a target's cache events from the number `first` on."""
         path = f"/v1/cache-events?from={first}"
-        return await self._order("GET", target, path, CacheEventsAnswer)
+        return await self._request_json("GET", target, path, CacheEventsPage)
 
-    async def _order(
+    async def _request_json(
         self,
         method: str,
         target: TargetConfig,
         path: str,
-        model: type[AnswerT],
+        model: type[ResponseT],
         *,
         body: Mapping[str, object] | None = None,
-    ) -> AnswerT | None:
-        timeout = aiohttp.ClientTimeout(total=ORDER_TIMEOUT_S)
+    ) -> ResponseT | None:
+        timeout = aiohttp.ClientTimeout(total=CONTROL_TIMEOUT_S)
         try:
             async with self._session.request(
                 method, f"{target.url}{path}", json=body, timeout=timeout
@@ -200,13 +208,13 @@
             return None
 
 
-def check_status(status: int) -> None:
-    """Raise the error that a status stands for, if any."""
-    if status in REFUSING_STATUSES:
+def raise_for_status(status: int) -> None:
+    """Raise TargetRefusedError or TargetBrokenError for any status but 200."""
+    if status in REFUSAL_STATUSES:
         raise TargetRefusedError(f"status {status}", status=status)
-    # Any other status may come after the target has begun: a failure while it
-    # ran, or a gateway that lost it. Taking it for a refusal would tell the
-    # caller "not run" of something that spent tokens.
+    # Any other status may be sent after the target has begun to run the request:
+    # after a failure during the run, or by a gateway that lost the target. Treated as
+    # a refusal, a request that used tokens would be reported to the caller as not run.
     if status != HTTP_OK:
         raise TargetBrokenError(f"status {status}")
 
@@ -214,8 +222,8 @@
 async def read_chunks(
     content: aiohttp.StreamReader, request: str
 ) -> AsyncIterator[Chunk]:
-    """Yield the chunks of an event stream, checking owner, order and end."""
-    expected = 0
+    """Yield the chunks of an event stream; check their request, order and end."""
+    expected_sequence = 0
     async for line in content:
         if not line.startswith(DATA_PREFIX):
             continue
@@ -223,23 +231,25 @@
         if data == END_OF_STREAM:
             return
         chunk, sequence = parse_chunk(data, request)
-        # A reused connection may still carry an older answer, and a relay may
-        # reorder. Either would mix two answers; owner and number show both.
-        if sequence != expected:
-            raise TargetBrokenError(f"chunk {sequence}, expected {expected}")
-        expected += 1
+        # A reused connection may still carry an earlier response, and a relay may
+        # reorder chunks. The request's name and the sequence number reveal both.
+        if sequence != expected_sequence:
+            raise TargetBrokenError(
+                f"received chunk {sequence}, expected chunk {expected_sequence}"
+            )
+        expected_sequence += 1
         yield chunk
-    raise TargetBrokenError("stream ended without its end mark")
+    raise TargetBrokenError("stream ended without its end marker")
 
 
 def parse_chunk(data: bytes, request: str) -> tuple[Chunk, int]:
-    """Return a chunk and its number, or raise TargetBrokenError."""
+    """Return a chunk and its sequence number, or raise TargetBrokenError."""
     try:
         body = ChunkBody.model_validate_json(data)
     except ValidationError as error:
-        raise TargetBrokenError("malformed chunk") from error
+        raise TargetBrokenError("received a malformed chunk") from error
     if body.id != request:
-        raise TargetBrokenError("chunk of another request")
+        raise TargetBrokenError("received a chunk of another request")
     choice = body.choices[0] if body.choices else None
     chunk = Chunk(
         data=data,
--- a/trefoilstage/components/targets/dispatcher.py
+++ b/trefoilstage/components/targets/dispatcher.py
@@ -1,4 +1,4 @@
-"""Bring a job to a target: get a place, stream, retry."""
+"""Run a job at a target: acquire a place, stream the response, retry failures."""
 
 from collections.abc import AsyncGenerator, AsyncIterator
 from contextlib import aclosing
@@ -13,16 +13,16 @@
     TargetRefusedError,
 )
 from trefoilstage.components.targets.models import Chunk, Delivery, Generation, Job
-from trefoilstage.components.targets.standing import StandingKeeper
+from trefoilstage.components.targets.serving_check import ServingCheck
 from trefoilstage.helpers.events import Event, log_event
 from trefoilstage.helpers.verdict import Effect, Reason, Refusal
 from trefoilstage.timer import TimerService
 
-MAX_TRIES = 3
+MAX_ATTEMPTS = 3
 RETRY_AFTER_FAILURE_S = 1.0
 NO_TARGET = Refusal(reason=Reason.NO_TARGET, retry_after_s=RETRY_AFTER_FAILURE_S)
 
-BROKEN = Refusal(
+TARGET_FAILED = Refusal(
     reason=Reason.TARGET_FAILED,
     effect=Effect.UNKNOWN,
     retry_after_s=RETRY_AFTER_FAILURE_S,
@@ -30,7 +30,7 @@
 
 
 class Dispatcher:
-    """Run jobs on targets within their room and their sites' power."""
+    """Run jobs at targets within the targets' capacity and the sites' power limits."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         admission: AdmissionController,
         power: PowerController,
         router: Router,
-        standing: StandingKeeper,
+        serving_check: ServingCheck,
         timer: TimerService,
     ) -> None:
         self._blackboard = blackboard
@@ -48,49 +48,55 @@
         self._admission = admission
         self._power = power
         self._router = router
-        self._standing = standing
+        self._serving_check = serving_check
         self._timer = timer
 
     async def run(self, job: Job, delivery: Delivery) -> AsyncIterator[Chunk]:
-        """Yield a job's chunks; a failure is left in delivery.refusal."""
+        """Yield a job's chunks; store a failure in `delivery.refusal`."""
         excluded: frozenset[str] = frozenset()
-        begun = False
+        has_begun = False
         n_failed = 0
         ticket = self._admission.make_ticket(job)
-        while n_failed < MAX_TRIES:
+        while n_failed < MAX_ATTEMPTS:
             place = await self._admission.admit(
                 job, ticket, excluded=excluded, retry=n_failed > 0
             )
             if isinstance(place, Refusal):
                 delivery.refusal = place
                 return
-            if not await self._is_confirmed(job, place):
+            if not await self._confirm_serving(job, place):
                 excluded |= {place.candidate.name}
                 n_failed += 1
                 delivery.refusal = NO_TARGET
                 continue
             delivery.refusal = None
             try:
-                async with aclosing(self._send(job, place, delivery)) as chunks:
+                async with aclosing(
+                    self._stream_chunks(job, place, delivery)
+                ) as chunks:
                     async for chunk in chunks:
-                        begun = True
+                        has_begun = True
                         yield chunk
                 return
             except TargetRefusedError as error:
-                self._note_refusal(job, place, error)
-                # A full target ran nothing and is no fault: the request waits
-                # on in its place. Counted as a retry, it would use up the
-                # retry budget in an overload and be refused with room near.
+                self._record_refusal(job, place, error)
+                # A target at capacity ran nothing and has not failed, so the request
+                # keeps its place in the queue. Counted as a retry, it would use up the
+                # retry credit in an overload and be refused although room is near.
                 if not error.is_busy:
                     excluded |= {place.candidate.name}
                     n_failed += 1
                 elif self._timer.now() >= ticket.give_up_at:
                     break
             except TargetBrokenError as error:
-                self._note_failure(job, place, error)
-                is_late = isinstance(error.__cause__, TimeoutError)
-                if begun or is_late or not await self._ran_nothing(job, place):
-                    delivery.refusal = BROKEN
+                self._record_failure(job, place, error)
+                has_timed_out = isinstance(error.__cause__, TimeoutError)
+                if (
+                    has_begun
+                    or has_timed_out
+                    or not await self._has_run_nothing(job, place)
+                ):
+                    delivery.refusal = TARGET_FAILED
                     return
                 delivery.target = ""
                 excluded |= {place.candidate.name}
@@ -99,64 +105,66 @@
             reason=Reason.OVERLOADED, retry_after_s=RETRY_AFTER_FAILURE_S
         )
 
-    async def _ran_nothing(self, job: Job, place: Place) -> bool:
-        """Tell whether the target says that a failed job spent nothing, for good."""
-        answer = await self._targets.cancel(place.candidate.config, job.request)
-        return answer is not None and answer.ended and not answer.usage.total
+    async def _has_run_nothing(self, job: Job, place: Place) -> bool:
+        """Return whether the target confirms that a failed job ended without tokens."""
+        response = await self._targets.cancel(place.candidate.config, job.request)
+        return response is not None and response.ended and not response.usage.total
 
-    async def _is_confirmed(self, job: Job, place: Place) -> bool:
+    async def _confirm_serving(self, job: Job, place: Place) -> bool:
         confirmed = False
         try:
-            confirmed = await self._standing.confirm(place.candidate.name)
+            confirmed = await self._serving_check.confirm(place.candidate.name)
         finally:
             if not confirmed:
-                self._end(job, place, ended=True, served=False)
+                self._finish(job, place, has_ended=True, served=False)
         return confirmed
 
     async def cancel(self, request: str, delivery: Delivery) -> int | None:
-        """End a job and return what it spent, None if that can't be known."""
+        """Cancel a job and return the tokens that it spent, None if unknown."""
         if not delivery.target:
             return 0
         target = self._blackboard.configuration.targets.get(delivery.target)
         if target is None:
             return None
-        answer = await self._targets.cancel(target, request)
-        if answer is None or not answer.ended:
+        response = await self._targets.cancel(target, request)
+        if response is None or not response.ended:
             return None
-        return answer.usage.total
+        return response.usage.total
 
-    async def _send(
+    async def _stream_chunks(
         self, job: Job, place: Place, delivery: Delivery
     ) -> AsyncGenerator[Chunk, None]:
         name = place.candidate.name
         delivery.target = name
-        ended = False
-        unread = place.n_new_tokens
-        self._router.record_prompt_sent(name, place.blocks, unread)
+        has_ended = False
+        n_unread_tokens = place.n_new_tokens
+        self._router.record_prompt_sent(name, place.blocks, n_unread_tokens)
         try:
             generation = self._make_generation(job, place)
             stream = self._targets.generate(place.candidate.config, generation)
             async with aclosing(stream) as chunks:
                 async for chunk in chunks:
-                    self._router.record_prompt_read(name, unread)
-                    unread = 0
+                    self._router.record_prompt_read(name, n_unread_tokens)
+                    n_unread_tokens = 0
                     delivery.usage = chunk.usage or delivery.usage
                     yield chunk
-            ended = True
+            has_ended = True
             self._router.get_status(name).health.note_answer()
         except TargetRefusedError:
-            ended = True
+            has_ended = True
             delivery.target = ""
             raise
         finally:
-            self._router.record_prompt_read(name, unread)
-            self._end(job, place, ended=ended, served=delivery.usage is not None)
+            self._router.record_prompt_read(name, n_unread_tokens)
+            self._finish(
+                job, place, has_ended=has_ended, served=delivery.usage is not None
+            )
 
-    def _end(self, job: Job, place: Place, *, ended: bool, served: bool) -> None:
+    def _finish(self, job: Job, place: Place, *, has_ended: bool, served: bool) -> None:
         self._router.get_status(place.candidate.name).health.note_dropped()
-        # Only the target's own word ends a request there. A broken stream or
-        # a caller that left says nothing of it, and its watts flow on.
-        if ended:
+        # Only the target's own response shows that a request has ended there. After a
+        # broken stream or a caller's disconnect, the request may still draw power.
+        if has_ended:
             self._power.release(place.hold)
         else:
             self._power.release_when_ended(place.hold, place.candidate.config)
@@ -175,16 +183,18 @@
             timeout_s=job.deadline_s,
         )
 
-    def _note_refusal(self, job: Job, place: Place, error: TargetRefusedError) -> None:
+    def _record_refusal(
+        self, job: Job, place: Place, error: TargetRefusedError
+    ) -> None:
         status = self._router.get_status(place.candidate.name)
         if error.is_busy:
             status.health.note_busy(self._timer.now())
         elif error.is_fenced:
             self._power.renew(place.candidate.config.site)
         elif not error.is_leaving:
-            self._note_failure(job, place, error)
+            self._record_failure(job, place, error)
 
-    def _note_failure(self, job: Job, place: Place, error: Exception) -> None:
+    def _record_failure(self, job: Job, place: Place, error: Exception) -> None:
         name = place.candidate.name
         status = self._router.get_status(name)
         status.failures += 1
--- a/trefoilstage/components/targets/health.py
+++ b/trefoilstage/components/targets/health.py
@@ -1,21 +1,21 @@
-"""Judge a target by its failures and limit retries to it; pure."""
+"""Track a target's failures and limit the retries sent to it; pure."""
 
 from dataclasses import dataclass
 
 MAX_FAILURES = 3
-EJECT_S = 0.5
-MAX_EJECT_S = 15.0
-BUSY_S = 0.1
-RETRY_SHARE = 0.1
-MAX_RETRIES = 10.0
+FIRST_EJECTION_S = 0.5
+MAX_EJECTION_S = 15.0
+BUSY_PAUSE_S = 0.1
+RETRY_CREDIT_PER_REQUEST = 0.1
+MAX_RETRY_CREDIT = 10.0
 
 
 @dataclass(kw_only=True, slots=True)
 class TargetHealth:
-    """Eject a target that fails again and again; let one probe bring it back.
+    """Eject a target that fails repeatedly; a successful probe ends the ejection.
 
-    A target that refuses everything at once looks idle and would draw all
-    traffic. While it is ejected it gets none, then one request as a probe.
+    A target that refuses every request immediately looks idle and would attract all
+    traffic. An ejected target receives no requests for a pause, then one as a probe.
     """
 
     n_failures: int = 0
@@ -23,65 +23,65 @@
     ejected_until: float | None = None
     busy_until: float = 0.0
     probing: bool = False
-    retries: float = MAX_RETRIES
+    retries: float = MAX_RETRY_CREDIT
 
     def may_send(self, now: float, *, retry: bool) -> bool:
-        """Tell whether a request may go to the target."""
+        """Return whether a request may be sent to the target."""
         if retry and self.retries < 1.0:
             return False
         if self.ejected_until is not None:
             return now >= self.ejected_until and not self.probing
         return now >= self.busy_until
 
-    def count_wait(self, now: float) -> float:
-        """Return the seconds until the target may be tried again."""
+    def compute_wait_s(self, now: float) -> float:
+        """Return the seconds until a request may be sent to the target again."""
         return max(0.0, (self.ejected_until or self.busy_until) - now)
 
     def start(self, *, retry: bool) -> None:
-        """Count a request that is sent now."""
+        """Record that a request is being sent."""
         self.probing = self.ejected_until is not None
-        # Retries are paid for by first tries. When most requests fail, so that
-        # most tries are retries, they stop instead of doubling the load.
-        change = -1.0 if retry else RETRY_SHARE
-        self.retries = min(MAX_RETRIES, self.retries + change)
+        # First attempts earn retry credit, and each retry uses 1 of it. When most
+        # requests fail, retries stop instead of doubling the load.
+        change = -1.0 if retry else RETRY_CREDIT_PER_REQUEST
+        self.retries = min(MAX_RETRY_CREDIT, self.retries + change)
 
     def note_answer(self) -> None:
-        """Count a request that the target took and answered."""
+        """Record that the target accepted and answered a request."""
         self.n_failures = 0
         self.n_ejections = 0
         self.ejected_until = None
         self.probing = False
 
     def note_busy(self, now: float) -> None:
-        """Count a refusal for want of room; it is no fault."""
+        """Record a refusal for lack of capacity, which is not a failure."""
         self.probing = False
-        self.busy_until = now + BUSY_S
+        self.busy_until = now + BUSY_PAUSE_S
 
     def note_dropped(self) -> None:
-        """Count a request that ended without a word on the target."""
+        """Record that a request ended without showing whether the target works."""
         self.probing = False
 
     def note_silence(self, now: float) -> bool:
-        """Count that no connection opened in time; tell whether it ejects the target.
+        """Record a connect timeout; return whether it ejects the target.
 
-        One such time is enough. With three failures as for others, each host let
-        three callers wait 0.4 s for a target that had gone dark. One that refuses
-        connections costs its callers nothing, and comes back sooner this way.
+        One timeout is enough. With the three failures required otherwise, each host let
+        three callers wait 0.4 s for a target that had become unreachable. A target that
+        refuses connections costs its callers no time and, with three, returns sooner.
         """
         self.n_failures = max(self.n_failures, MAX_FAILURES - 1)
         return self.note_failure(now)
 
     def note_failure(self, now: float) -> bool:
-        """Count a failure; tell whether it ejects the target."""
+        """Record a failure; return whether it ejects the target."""
         self.n_failures += 1
         self.probing = False
         if self.ejected_until is None:
             if self.n_failures < MAX_FAILURES:
                 return False
         elif now < self.ejected_until:
-            # Sent before the ejection; what it tells is known already.
+            # The request was sent before the ejection; its failure is no new evidence.
             return False
-        pause = min(MAX_EJECT_S, EJECT_S * 2.0**self.n_ejections)
+        pause_s = min(MAX_EJECTION_S, FIRST_EJECTION_S * 2.0**self.n_ejections)
         self.n_ejections = min(self.n_ejections + 1, 10)
-        self.ejected_until = now + pause
+        self.ejected_until = now + pause_s
         return True
--- a/trefoilstage/components/targets/load.py
+++ b/trefoilstage/components/targets/load.py
@@ -1,4 +1,4 @@
-"""Estimate a target's load from late reports and what this host sent; pure."""
+"""Estimate a target's load from delayed reports and own requests; pure."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ActiveChange:
-    """Hold how many requests of this host a target ran from a moment on."""
+    """Describe how many of this host's requests a target ran from a time on."""
 
     at: float
     active: int
@@ -17,34 +17,34 @@
 
 @dataclass(kw_only=True, slots=True)
 class TargetLoad:
-    """Correct a late report by what this host sent and ended since."""
+    """Correct a target's delayed load report by this host's requests since then."""
 
-    active: int = 0
-    reported: int = 0
-    others: int = 0
+    active: int = 0  # this host's running requests
+    reported: int = 0  # running requests of all hosts, by the last report
+    others: int = 0  # running requests of the other hosts, by the last report
     reported_at: float = float("-inf")
-    pending_prompt: int = 0
+    pending_prompt: int = 0  # tokens of this host's prompts not processed yet
     changes: deque[ActiveChange] = field(
         default_factory=lambda: deque(maxlen=MAX_CHANGES)
     )
 
-    def note_active(self, now: float, change: int) -> None:
-        """Count a request of this host that starts (1) or ends (-1)."""
+    def record_active_change(self, now: float, change: int) -> None:
+        """Record that a request of this host starts (1) or ends (-1)."""
         self.active += change
         self.changes.append(ActiveChange(at=now, active=self.active))
 
-    def note_report(self, now: float, running: int, lag_s: float) -> None:
-        """Take a report of what ran some time ago."""
-        moment = now - lag_s
-        mine = 0
-        while self.changes and self.changes[0].at <= moment:
-            mine = self.changes.popleft().active
-        self.changes.appendleft(ActiveChange(at=moment, active=mine))
+    def record_report(self, now: float, running: int, lag_s: float) -> None:
+        """Apply a report of the requests that ran `lag_s` seconds ago."""
+        measured_at = now - lag_s
+        n_own = 0
+        while self.changes and self.changes[0].at <= measured_at:
+            n_own = self.changes.popleft().active
+        self.changes.appendleft(ActiveChange(at=measured_at, active=n_own))
         self.reported = running
-        self.others = max(0, running - mine)
+        self.others = max(0, running - n_own)
         self.reported_at = now
 
-    def estimate(self, now: float) -> int:
-        """Return the requests that the target runs now, of all hosts."""
-        fresh = now - self.reported_at <= MAX_REPORT_AGE_S
-        return self.active + (self.others if fresh else 0)
+    def estimate_running(self, now: float) -> int:
+        """Return an estimate of the requests that the target runs for all hosts."""
+        is_fresh = now - self.reported_at <= MAX_REPORT_AGE_S
+        return self.active + (self.others if is_fresh else 0)
--- a/trefoilstage/components/targets/models.py
+++ b/trefoilstage/components/targets/models.py
@@ -1,4 +1,4 @@
-"""Define what targets send, validated at the border."""
+"""Define requests to targets, and the targets' responses, validated on receipt."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -10,7 +10,7 @@
 
 
 class Usage(BaseModel):
-    """Count the tokens of one request, as the target reports them."""
+    """Represent the tokens used by one request, as the target reports them."""
 
     prompt_tokens: int = Field(ge=0)
     completion_tokens: int = Field(ge=0)
@@ -18,82 +18,82 @@
 
     @property
     def total(self) -> int:
-        """Return all tokens of the request."""
+        """Return the total number of tokens used."""
         return self.prompt_tokens + self.completion_tokens
 
 
 class Delta(BaseModel):
-    """Hold the new text of a chunk."""
+    """Represent the new text in a chunk."""
 
     content: str = ""
 
 
-class Choice(BaseModel):
-    """Hold one choice of a chunk."""
+class ChunkChoice(BaseModel):
+    """Represent one choice in a chunk."""
 
     delta: Delta = Delta()
     finish_reason: str | None = None
 
 
 class ChunkBody(BaseModel):
-    """Check one chunk of a target's stream."""
+    """Represent one chunk of a target's response stream."""
 
     id: str
     sequence: int = Field(ge=0)
-    choices: list[Choice] = []
+    choices: list[ChunkChoice] = []
     usage: Usage | None = None
 
 
-class RequestAnswer(BaseModel):
-    """Check what a target says of one request; `ended` is final."""
+class RequestStatus(BaseModel):
+    """Represent the status of a request at a target; final once `ended` is true."""
 
     state: str
     usage: Usage
     ended: bool = False
 
 
-class FenceAnswer(BaseModel):
-    """Check a target's answer to a fence: whether it holds, and who still runs."""
+class FenceResponse(BaseModel):
+    """Represent the response to a fence: if it is enforced, and what still runs."""
 
     checked: bool
     active: int = Field(ge=0)
 
 
 class Role(StrEnum):
-    """Name what a target does."""
+    """List the roles of a target."""
 
     SERVING = "serving"
     LEAVING = "leaving"
 
 
-class HealthAnswer(BaseModel):
-    """Check what a target says of itself."""
+class HealthResponse(BaseModel):
+    """Represent what a target reports about itself."""
 
     role: Role
 
 
-class RoleAnswer(BaseModel):
-    """Check a target's answer to an order to change its role."""
+class RoleResponse(BaseModel):
+    """Represent a target's response to a change of its role."""
 
     checked: bool
 
 
-class LoadAnswer(BaseModel):
-    """Check a target's report of its load, as it was some time ago."""
+class LoadReport(BaseModel):
+    """Represent a target's load as it was `lag_s` seconds ago."""
 
     running: int = Field(ge=0)
     lag_s: float = Field(default=0.5, ge=0)
 
 
 class CacheEvent(BaseModel):
-    """Check one event of a target's prefix cache."""
+    """Represent one event of a target's prefix cache."""
 
     kind: Literal["stored", "evicted"]
     block: str = Field(max_length=64)
 
 
-class CacheEventsAnswer(BaseModel):
-    """Check a page of cache events; some may be missing."""
+class CacheEventsPage(BaseModel):
+    """Represent a page of cache events, some of which may be missing."""
 
     next: int = Field(ge=0)
     events: list[CacheEvent]
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Chunk:
-    """Hold one chunk of an answer: its exact bytes and what they mean."""
+    """Represent one chunk of a response: its exact bytes and their content."""
 
     data: bytes
     text: str
@@ -111,7 +111,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Job:
-    """Describe a request; it may go to the given addresses, to any if none."""
+    """Describe a request that may run at the targets in `urls`, at any if empty."""
 
     request: str
     workspace: str
@@ -127,7 +127,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class Delivery:
-    """Hold where a job ran and how it ended; without a target nothing ran."""
+    """Describe where a job ran and how it ended; nothing ran if `target` is empty."""
 
     target: str = ""
     usage: Usage | None = None
@@ -136,7 +136,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Generation:
-    """Describe a request to a model engine."""
+    """Describe a request as it is sent to one target."""
 
     request: str
     workspace: str
--- a/trefoilstage/components/targets/roles.py
+++ b/trefoilstage/components/targets/roles.py
@@ -1,4 +1,4 @@
-"""Tell targets the role that the configuration gives them."""
+"""Send targets the roles that the configuration assigns to them."""
 
 from mode import Service
 
@@ -9,16 +9,16 @@
 from trefoilstage.timer import TimerService
 from trefoilstage.util.hashing import rank_by_rendezvous
 
-CHECK_S = 0.25
-N_TELLERS = 3
+CHECK_INTERVAL_S = 0.25
+N_SENDERS = 3
 ROLES = {TargetState.SERVING: Role.SERVING, TargetState.LEAVING: Role.LEAVING}
 
 
 class RoleController(Service):
-    """Order each target whose state changed to its new role.
+    """Send the new role to each target whose configured state has changed.
 
-    A host that hears nothing of the change asks the target before it sends,
-    and a target that checks turns away whoever has an older configuration.
+    A host that does not receive the change asks the target before it sends requests,
+    and a target that checks revisions refuses hosts with an older configuration.
     """
 
     def __init__(
@@ -33,27 +33,27 @@
     async def on_start(self) -> None:
         """Start watching the targets' states."""
         self._unsubscribe = self._timer.subscribe(
-            name="roles", interval_s=CHECK_S, callback=self._tell_changes
+            name="roles", interval_s=CHECK_INTERVAL_S, callback=self._send_changes
         )
 
     async def on_stop(self) -> None:
         """Stop watching the targets' states."""
         self._unsubscribe()
 
-    async def _tell_changes(self) -> None:
+    async def _send_changes(self) -> None:
         for name, target in self._blackboard.configuration.targets.items():
-            known = self._told.get(name, TargetState.SERVING)
-            if target.state is not known and self._is_teller(name):
-                await self._tell(name, target)
+            last_sent = self._told.get(name, TargetState.SERVING)
+            if target.state is not last_sent and self._is_sender(name):
+                await self._send_role(name, target)
 
-    def _is_teller(self, name: str) -> bool:
-        # A few hosts tell it, so that one which is cut off from the target
-        # does not keep the change from it, and not all of a large fleet do.
+    def _is_sender(self, name: str) -> bool:
+        # Several hosts send the role, so that it arrives even if one of them can't
+        # reach the target. In a large fleet, not every host sends it.
         hosts = [entry.host for entry in self._blackboard.list_live_peers()]
         hosts.append(self._blackboard.host)
-        return self._blackboard.host in rank_by_rendezvous(name, hosts)[:N_TELLERS]
+        return self._blackboard.host in rank_by_rendezvous(name, hosts)[:N_SENDERS]
 
-    async def _tell(self, name: str, target: TargetConfig) -> None:
+    async def _send_role(self, name: str, target: TargetConfig) -> None:
         revision = self._blackboard.config.revision
         if await self._targets.change_role(target, ROLES[target.state], revision):
             self._told[name] = target.state
--- a/trefoilstage/components/targets/setup.py
+++ b/trefoilstage/components/targets/setup.py
@@ -1,4 +1,4 @@
-"""Assemble the parts that bring requests to targets."""
+"""Create the services that send requests to targets."""
 
 import random
 from dataclasses import dataclass
@@ -13,14 +13,14 @@
 from trefoilstage.components.targets.client import TargetClient
 from trefoilstage.components.targets.dispatcher import Dispatcher
 from trefoilstage.components.targets.roles import RoleController
-from trefoilstage.components.targets.standing import StandingKeeper
+from trefoilstage.components.targets.serving_check import ServingCheck
 from trefoilstage.settings import HostSettings
 from trefoilstage.timer import TimerService
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TargetParts:
-    """Hold the services that bring requests to targets."""
+    """Group the services that send requests to targets."""
 
     power: PowerController
     reports: ReportController
@@ -39,7 +39,7 @@
     timer: TimerService,
     generator: random.Random,
 ) -> TargetParts:
-    """Return the services that bring requests to targets, not yet started."""
+    """Return the services that send requests to targets, not yet started."""
     router = Router(
         blackboard=blackboard, policy=settings.routing_policy, generator=generator
     )
@@ -72,7 +72,7 @@
             admission=admission,
             power=power,
             router=router,
-            standing=StandingKeeper(
+            serving_check=ServingCheck(
                 blackboard=blackboard, targets=targets, timer=timer
             ),
             timer=timer,
