--- a/tests/components/crashes/__init__.py
+++ b/tests/components/crashes/__init__.py
@@ -1,1 +1,1 @@
-"""Test what is concluded from targets that end."""
+"""Test the crashes package."""
--- a/tests/components/crashes/test_evidence.py
+++ b/tests/components/crashes/test_evidence.py
@@ -1,62 +1,62 @@
-"""Test which requests are taken for the cause of crashes."""
+"""Test which requests are identified as the cause of crashes."""
 
 import random
 import unittest
 from collections import Counter
 
 from trefoilstage.components.crashes.evidence import (
-    BLOCKED_AGE_S,
-    MIN_CRASHES,
-    SUSPECT_AGE_S,
+    BLOCKED_RETENTION_S,
+    MIN_CRASHED_TARGETS,
+    SUSPECT_RETENTION_S,
     CrashEvidence,
 )
 from trefoilstage.components.crashes.models import Crash, make_crash
 
 SEEDS = range(20)
-# The load: nine targets, one of which ends every 0.6 s and is back after 3 s, as on
-# the worst day seen; callers' requests take up to 0.3 s to begin to run.
+# The load is the highest crash rate observed: of nine targets, one crashes every 0.6 s
+# and is back after 3 s. Requests take up to 0.3 s to start running.
 N_TARGETS = 9
-CRASH_GAP_S = 0.6
-AWAY_S = 3.0
-DAY_S = 100.0
+MEAN_CRASH_INTERVAL_S = 0.6
+RESTART_S = 3.0
+DURATION_S = 100.0
 REQUESTS_PER_S = 80
-BEGINNING_S = 0.3
+MAX_START_DELAY_S = 0.3
 N_RETRIES = 4
 
 
 def add_all(evidence: CrashEvidence, fingerprint: str, targets: str) -> None:
-    """Note a request at targets that ended, a letter each."""
+    """Add crashes of a request at targets that are named by one letter each."""
     for target in targets:
         evidence.add(make_crash(fingerprint, target), 0.0)
 
 
 class CauseTest(unittest.TestCase):
-    """Test how requests are told apart."""
+    """Test how crashing and harmless requests are distinguished."""
 
-    def test_two_crashes_are_chance(self) -> None:
-        """Guard against blocking a request for bad luck."""
+    def test_two_crashes_do_not_block_a_request(self) -> None:
+        """Guard against blocking a request for crashes that coincide with it."""
         evidence = CrashEvidence()
         add_all(evidence, "a", "xy")
         self.assertFalse(evidence.blocked)
         add_all(evidence, "a", "z")
         self.assertEqual(evidence.blocked, {"a"})
 
-    def test_same_target_counts_once(self) -> None:
-        """Guard against counting one end that several hosts or copies saw."""
+    def test_crashes_at_one_target_count_once(self) -> None:
+        """Guard against counting a crash again that several hosts observed."""
         evidence = CrashEvidence()
-        for _ in range(2 * MIN_CRASHES):
+        for _ in range(2 * MIN_CRASHED_TARGETS):
             add_all(evidence, "a", "x")
         self.assertFalse(evidence.blocked)
 
-    def test_sound_request_beside_the_cause_is_not_blocked(self) -> None:
-        """Guard against blocking what was cut together with a crashing request."""
+    def test_harmless_request_beside_the_cause_is_not_blocked(self) -> None:
+        """Guard against blocking requests interrupted by a crashing request."""
         evidence = CrashEvidence()
         add_all(evidence, "crashing", "vwxyz")
-        add_all(evidence, "sound", "wxy")
+        add_all(evidence, "harmless", "wxy")
         self.assertEqual(evidence.blocked, {"crashing"})
 
-    def test_two_causes_are_both_found(self) -> None:
-        """Guard against one crashing request that hides another."""
+    def test_two_crashing_requests_are_both_blocked(self) -> None:
+        """Guard against a crashing request that conceals another."""
         evidence = CrashEvidence()
         add_all(evidence, "a", "uvw")
         add_all(evidence, "b", "wxyz")
@@ -64,116 +64,118 @@
         add_all(evidence, "a", "t")
         self.assertEqual(evidence.blocked, {"a", "b"})
 
-    def test_wrong_guess_between_equals_is_taken_back(self) -> None:
-        """Guard against a sound request that stays blocked in place of the cause."""
+    def test_wrong_choice_between_equal_requests_is_corrected(self) -> None:
+        """Guard against a harmless request that stays blocked instead of the cause."""
         evidence = CrashEvidence()
-        add_all(evidence, "zz-sound", "xyz")
+        add_all(evidence, "zz-harmless", "xyz")
         add_all(evidence, "crashing", "xyz")
         self.assertEqual(len(evidence.blocked), 1)
         add_all(evidence, "crashing", "v")
         self.assertEqual(evidence.blocked, {"crashing"})
 
-    def test_request_that_ran_is_forgotten(self) -> None:
-        """Guard against a cleared request that stays blocked."""
+    def test_request_without_crashes_is_unblocked(self) -> None:
+        """Guard against a request that stays blocked after it proved harmless."""
         evidence = CrashEvidence()
         add_all(evidence, "a", "xyz")
         for crash in evidence.list_crashes("a"):
             evidence.remove(crash)
-        self.assertFalse(evidence.knows("a"))
+        self.assertFalse(evidence.has_crashes("a"))
         self.assertFalse(evidence.blocked)
 
 
 class BoundsTest(unittest.TestCase):
-    """Test that memory and time are bounded."""
+    """Test the limits on the number and the age of crashes."""
 
     def test_blocked_request_outlasts_a_burst_of_crashes(self) -> None:
-        """Guard against forgetting a crashing request when many targets end."""
+        """Guard against unblocking a crashing request when many targets crash."""
         evidence = CrashEvidence(max_crashes=50)
         add_all(evidence, "crashing", "xyz")
         for number in range(1_000):
             evidence.add(make_crash(f"r-{number}", "t"), 1.0)
         self.assertEqual(evidence.blocked, {"crashing"})
         self.assertEqual(len(evidence.seen_at), 50)
-        self.assertEqual(sum(map(len, evidence.targets.values())), 50)
+        self.assertEqual(sum(map(len, evidence.targets_by_fingerprint.values())), 50)
 
-    def test_request_whose_crashes_were_left_out_is_not_blocked(self) -> None:
-        """Guard against a refusal that fails as nothing is left to tell its end."""
-        evidence = CrashEvidence(max_crashes=MIN_CRASHES)
+    def test_request_whose_crashes_were_dropped_is_not_blocked(self) -> None:
+        """Guard against a refusal whose wait can't be computed without crashes."""
+        evidence = CrashEvidence(max_crashes=MIN_CRASHED_TARGETS)
         add_all(evidence, "a", "xyz")
         add_all(evidence, "b", "uvw")
         self.assertEqual(evidence.blocked, {"b"})
 
     def test_suspects_expire_before_blocked_requests(self) -> None:
-        """Guard against records that are kept for good."""
+        """Guard against records that are kept permanently."""
         evidence = CrashEvidence()
         add_all(evidence, "crashing", "xyz")
         add_all(evidence, "suspect", "v")
-        self.assertEqual(evidence.list_expired(SUSPECT_AGE_S), [])
-        expired = evidence.list_expired(SUSPECT_AGE_S + 1.0)
+        self.assertEqual(evidence.list_expired(SUSPECT_RETENTION_S), [])
+        expired = evidence.list_expired(SUSPECT_RETENTION_S + 1.0)
         self.assertEqual(expired, [Crash(fingerprint="suspect", target="v")])
-        self.assertEqual(len(evidence.list_expired(BLOCKED_AGE_S + 1.0)), 4)
+        self.assertEqual(len(evidence.list_expired(BLOCKED_RETENTION_S + 1.0)), 4)
 
-    def test_wait_ends_when_too_few_crashes_are_left(self) -> None:
-        """Guard against callers told to come back while they are still refused."""
+    def test_wait_ends_when_too_few_crashes_remain(self) -> None:
+        """Guard against asking callers to retry while they would still be refused."""
         evidence = CrashEvidence()
         for number, target in enumerate("wxyz"):
             evidence.add(make_crash("a", target), 10.0 * number)
-        self.assertEqual(evidence.count_wait("a", 30.0), BLOCKED_AGE_S - 20.0)
+        self.assertEqual(evidence.compute_wait_s("a", 30.0), BLOCKED_RETENTION_S - 20.0)
 
-    def test_long_names_of_targets_fit_into_a_key(self) -> None:
-        """Guard against keys that the store refuses for good."""
+    def test_long_target_name_fits_into_a_key(self) -> None:
+        """Guard against keys that the store permanently refuses."""
         crash = make_crash("f" * 24, "ü" * 400)
         self.assertLess(len(crash.key.encode()), 256)
 
 
 class LoadTest(unittest.TestCase):
-    """Play sound requests before targets that end by themselves."""
+    """Simulate harmless requests at targets that crash for unrelated reasons."""
 
-    def play(self, seed: int) -> tuple[int, int]:
-        """Return how many requests were ever blocked, and how many were cut."""
+    def simulate(self, seed: int) -> tuple[int, int]:
+        """Return the number of requests ever blocked, and of those interrupted."""
         generator = random.Random(seed)
         evidence = CrashEvidence()
         crashes = self.draw_crashes(generator)
-        cut: Counter[str] = Counter()
+        n_interruptions: Counter[str] = Counter()
         blocked: set[str] = set()
-        for number in range(int(DAY_S * REQUESTS_PER_S)):
+        for number in range(int(DURATION_S * REQUESTS_PER_S)):
             at = number / REQUESTS_PER_S
             for _ in range(1 + N_RETRIES):
                 target = generator.randrange(N_TARGETS)
-                ends = at + generator.uniform(0.0, BEGINNING_S)
-                end = find_crash(crashes[target], at, ends)
-                if end is None:
+                starts_running_at = at + generator.uniform(0.0, MAX_START_DELAY_S)
+                crashed_at = find_crash(crashes[target], at, starts_running_at)
+                if crashed_at is None:
                     break
-                cut[f"r-{number}"] += 1
-                evidence.add(make_crash(f"r-{number}", f"{target}@{end}"), end)
+                n_interruptions[f"r-{number}"] += 1
+                evidence.add(
+                    make_crash(f"r-{number}", f"{target}@{crashed_at}"), crashed_at
+                )
                 blocked |= evidence.blocked
-                at = end
-        return len(blocked), len(cut)
+                at = crashed_at
+        return len(blocked), len(n_interruptions)
 
     def draw_crashes(self, generator: random.Random) -> list[list[float]]:
-        """Return when each target ends."""
+        """Return the times at which each target crashes."""
         crashes: list[list[float]] = [[] for _ in range(N_TARGETS)]
         at = 0.0
-        while at < DAY_S:
-            at += generator.expovariate(1 / CRASH_GAP_S)
+        while at < DURATION_S:
+            at += generator.expovariate(1 / MEAN_CRASH_INTERVAL_S)
             target = generator.choice(crashes)
-            if not target or at - target[-1] > AWAY_S:
+            if not target or at - target[-1] > RESTART_S:
                 target.append(at)
         return crashes
 
-    def test_sound_requests_are_not_blocked_where_targets_end_by_themselves(
+    def test_harmless_requests_are_rarely_blocked_when_targets_crash(
         self,
     ) -> None:
-        """Guard against refusing sound requests that were under way at crashes."""
-        results = [self.play(seed) for seed in SEEDS]
-        n_cut = sum(cut for _, cut in results)
-        self.assertGreater(n_cut, 1_000)
+        """Guard against refusing harmless requests that ran while targets crashed."""
+        results = [self.simulate(seed) for seed in SEEDS]
+        n_interrupted = sum(interrupted for _, interrupted in results)
+        self.assertGreater(n_interrupted, 1_000)
         n_blocked = sum(blocked for blocked, _ in results)
-        self.assertLessEqual(n_blocked, n_cut / 1_000)
+        self.assertLessEqual(n_blocked, n_interrupted / 1_000)
 
 
 def find_crash(crashes: list[float], since: float, until: float) -> float | None:
-    """Return when a target ended between two moments, None if it did not."""
+    """Return the first crash of a target between two times, None if there is none."""
     return next((at for at in crashes if since < at <= until), None)
 
 
--- a/tests/components/crashes/test_recorder.py
+++ b/tests/components/crashes/test_recorder.py
@@ -1,4 +1,4 @@
-"""Test how crashes reach the store and the peers."""
+"""Test how crashes are written to the store and reported to peers."""
 
 import asyncio
 import unittest
@@ -10,7 +10,7 @@
 from trefoilstage.components.crashes.evidence import MAX_CRASHES
 from trefoilstage.components.crashes.messages import CrashReport
 from trefoilstage.components.crashes.models import Crash, make_crash
-from trefoilstage.components.crashes.recorder import RETRY_S, CrashRecorder
+from trefoilstage.components.crashes.recorder import RETRY_INTERVAL_S, CrashRecorder
 from trefoilstage.components.views.store import StoreRefusedError, Topic
 
 LARGE = [f"host-{number}" for number in range(20)]
@@ -19,9 +19,9 @@
 
 @dataclass(kw_only=True)
 class Links:
-    """Note what peers are told."""
+    """Record the reports sent to peers."""
 
-    told: list[tuple[str, CrashReport]] = field(default_factory=list)
+    sent: list[tuple[str, CrashReport]] = field(default_factory=list)
 
     def get_link(self, url: str) -> "Link":
         return Link(url=url, links=self)
@@ -29,23 +29,23 @@
 
 @dataclass(kw_only=True)
 class Link:
-    """Stand in for the link to one peer."""
+    """Replace the link to one peer."""
 
     url: str
     links: Links
 
     async def tell(self, report: CrashReport, *, timeout_s: float) -> None:
-        self.links.told.append((self.url, report))
+        self.links.sent.append((self.url, report))
 
 
-class PickyStore(KeyedStore):
-    """Refuse one key for good."""
+class RefusingStore(KeyedStore):
+    """Refuse one key permanently."""
 
-    refused = ""
+    refused_key = ""
 
     async def put(self, topic: Topic, key: str, *args: Any, **more: Any) -> int | None:
         """Write a key, unless it is the refused one."""
-        if key == self.refused:
+        if key == self.refused_key:
             raise StoreRefusedError("status 400")
         return await super().put(topic, key, *args, **more)
 
@@ -53,8 +53,8 @@
 class RecorderTest(unittest.IsolatedAsyncioTestCase):
     """Test one host's recorder."""
 
-    def make(self, names: list[str]) -> CrashRecorder:
-        self.store = PickyStore()
+    def make_recorder(self, names: list[str]) -> CrashRecorder:
+        self.store = RefusingStore()
         self.links = Links()
         self.board = make_board("host-0", names)
         return CrashRecorder(
@@ -72,73 +72,73 @@
     async def wait(self, seconds: float = 0.02) -> None:
         await asyncio.sleep(seconds)
 
-    async def test_small_fleet_is_told_at_once(self) -> None:
-        """Guard against hosts that hear of a crash from the store alone."""
-        recorder = self.make(SMALL)
+    async def test_peers_of_a_small_fleet_receive_reports_immediately(self) -> None:
+        """Guard against hosts that learn of a crash only from the store."""
+        recorder = self.make_recorder(SMALL)
         crash = make_crash("a", "x")
         recorder.record([crash])
         await self.wait()
-        self.assertEqual([host for host, _ in self.links.told], SMALL[1:])
+        self.assertEqual([host for host, _ in self.links.sent], SMALL[1:])
         self.assertEqual(self.list_written(), [crash.key])
 
-    async def test_large_fleet_reads_the_store(self) -> None:
-        """Guard against a message to each of hundreds of hosts for each end."""
-        recorder = self.make(LARGE)
+    async def test_hosts_of_a_large_fleet_receive_no_reports(self) -> None:
+        """Guard against a message to each of hundreds of hosts for each crash."""
+        recorder = self.make_recorder(LARGE)
         recorder.record([make_crash("a", "x")])
         await self.wait()
-        self.assertEqual(self.links.told, [])
+        self.assertEqual(self.links.sent, [])
         self.assertEqual(self.list_written(), ["a/x"])
 
-    async def test_host_without_the_store_asks_one_peer_to_write(self) -> None:
-        """Guard against crashes that only a host cut from the store knows of."""
-        recorder = self.make(LARGE)
+    async def test_host_that_cannot_reach_the_store_asks_one_peer(self) -> None:
+        """Guard against crashes known only to a host that can't reach the store."""
+        recorder = self.make_recorder(LARGE)
         self.store.down = True
         recorder.record([make_crash("a", "x")])
         await self.wait()
-        self.assertEqual([report.relay for _, report in self.links.told], [True])
+        self.assertEqual([report.relay for _, report in self.links.sent], [True])
         self.store.down = False
-        await self.wait(1.1 * RETRY_S)
+        await self.wait(1.1 * RETRY_INTERVAL_S)
         self.assertEqual(self.list_written(), ["a/x"])
 
-    async def test_peer_that_lost_the_store_as_well_is_not_asked(self) -> None:
-        """Guard against a crash handed to a host that can't write it either."""
-        for lost, able in (("host-1", "host-2"), ("host-2", "host-1")):
-            recorder = self.make(SMALL)
-            self.board.peers[lost].store_in_reach = False
+    async def test_peer_that_cannot_reach_the_store_is_not_asked(self) -> None:
+        """Guard against asking a peer that can't write to the store either."""
+        for unable, able in (("host-1", "host-2"), ("host-2", "host-1")):
+            recorder = self.make_recorder(SMALL)
+            self.board.peers[unable].store_in_reach = False
             self.store.down = True
             recorder.record([make_crash("a", "x")])
             await self.wait()
-            asked = [host for host, report in self.links.told if report.relay]
+            asked = [host for host, report in self.links.sent if report.relay]
             self.assertEqual(asked, [able])
 
-    async def test_cleared_request_leaves_the_store(self) -> None:
-        """Guard against a sound request that hosts suspect again as they start."""
-        recorder = self.make(SMALL)
+    async def test_crashes_of_a_harmless_request_are_deleted(self) -> None:
+        """Guard against a harmless request that hosts suspect again after a restart."""
+        recorder = self.make_recorder(SMALL)
         crashes = [make_crash("a", target) for target in "xy"]
         recorder.record(crashes)
         recorder.clear("a", crashes)
         await self.wait()
         self.assertEqual(self.list_written(), [])
-        self.assertEqual(self.links.told[-1][1].sound, ("a",))
+        self.assertEqual(self.links.sent[-1][1].sound, ("a",))
 
-    async def test_record_that_the_store_refuses_holds_up_no_other(self) -> None:
-        """Guard against one bad key that keeps all later crashes from the store."""
-        recorder = self.make(SMALL)
-        self.store.refused = "a/x"
+    async def test_refused_record_does_not_block_others(self) -> None:
+        """Guard against one refused key that keeps later crashes from the store."""
+        recorder = self.make_recorder(SMALL)
+        self.store.refused_key = "a/x"
         recorder.record([make_crash("a", "x"), make_crash("b", "y")])
-        await self.wait(1.5 * RETRY_S)
+        await self.wait(1.5 * RETRY_INTERVAL_S)
         self.assertEqual(self.list_written(), ["b/y"])
 
-    async def test_unwritten_crashes_are_bounded(self) -> None:
-        """Guard against memory that grows for as long as the store is away."""
-        recorder = self.make(["host-0"])
+    async def test_number_of_pending_writes_is_limited(self) -> None:
+        """Guard against memory that grows while the store is unreachable."""
+        recorder = self.make_recorder(["host-0"])
         self.store.down = True
         crashes: list[Crash] = [
             make_crash(f"r-{number}", "x") for number in range(MAX_CRASHES + 10)
         ]
         recorder.record(crashes)
         await self.wait()
-        self.assertEqual(len(recorder._unwritten), MAX_CRASHES)
+        self.assertEqual(len(recorder._pending_writes), MAX_CRASHES)
 
 
 if __name__ == "__main__":
--- a/tests/components/crashes/test_watcher.py
+++ b/tests/components/crashes/test_watcher.py
@@ -1,4 +1,4 @@
-"""Test what a host concludes from requests that targets cut."""
+"""Test how a host handles requests that targets interrupted."""
 
 import asyncio
 import unittest
@@ -6,27 +6,34 @@
 from dataclasses import dataclass, field
 from typing import Any, cast
 
-from trefoilstage.components.crashes.evidence import BLOCKED_AGE_S, MIN_CRASHES
+from trefoilstage.components.crashes.evidence import (
+    BLOCKED_RETENTION_S,
+    MIN_CRASHED_TARGETS,
+)
 from trefoilstage.components.crashes.messages import CrashReport
 from trefoilstage.components.crashes.models import Crash, make_crash
 from trefoilstage.components.crashes.probe import ProbeResult
-from trefoilstage.components.crashes.watcher import BEGINNING_S, LEFT_S, CrashWatcher
+from trefoilstage.components.crashes.watcher import (
+    MAX_SUSPECT_PROGRESS_S,
+    PROBE_DELAY_S,
+    CrashWatcher,
+)
 from trefoilstage.components.views.keyed_view import KeyedRecord
 from trefoilstage.helpers.verdict import Reason
 
-BEGAN_S = BEGINNING_S / 2
-RAN_S = 2 * BEGINNING_S
+SHORT_PROGRESS_S = MAX_SUSPECT_PROGRESS_S / 2
+LONG_PROGRESS_S = 2 * MAX_SUSPECT_PROGRESS_S
 
 
 @dataclass(kw_only=True)
-class Parts:
-    """Stand in for the parts beside the watcher, and note what it tells them."""
+class StubParts:
+    """Replace the services that the watcher uses, and record its calls."""
 
     result: ProbeResult = ProbeResult.REFUSED
     probed: list[str] = field(default_factory=list)
     recorded: list[Crash] = field(default_factory=list)
     cleared: list[str] = field(default_factory=list)
-    relayed: list[Crash] = field(default_factory=list)
+    written_for_peer: list[Crash] = field(default_factory=list)
 
     async def connect(self, address: str) -> ProbeResult:
         self.probed.append(address)
@@ -40,15 +47,15 @@
     def clear(self, fingerprint: str, _: Sequence[Crash]) -> None:
         self.cleared.append(fingerprint)
 
-    def write(self, crashes: Sequence[Crash]) -> None:
-        self.relayed += crashes
+    def write_for_peer(self, crashes: Sequence[Crash]) -> None:
+        self.written_for_peer += crashes
 
 
 class WatcherTest(unittest.IsolatedAsyncioTestCase):
     """Test one host's watcher without a network."""
 
     async def asyncSetUp(self) -> None:
-        self.parts = Parts()
+        self.parts = StubParts()
         part = cast(Any, self.parts)
         self.watcher = CrashWatcher(
             host="host-0",
@@ -59,7 +66,7 @@
             list_live_hosts=lambda: ("host-0",),
         )
 
-    async def cut(self, fingerprint: str, target: str, progress_s: float) -> None:
+    async def interrupt(self, fingerprint: str, target: str, progress_s: float) -> None:
         self.watcher.note_cut(
             fingerprint, target=target, address=f"{target}:1", progress_s=progress_s
         )
@@ -67,27 +74,29 @@
         await asyncio.sleep(0)
 
     async def test_request_is_blocked_after_three_targets(self) -> None:
-        """Guard against a request that goes on to end one target after the other."""
+        """Guard against a request that crashes one target after another."""
         for target in ("x", "y"):
-            await self.cut("a", target, BEGAN_S)
+            await self.interrupt("a", target, SHORT_PROGRESS_S)
         self.assertIsNone(self.watcher.check("a"))
-        await self.cut("a", "z", BEGAN_S)
+        await self.interrupt("a", "z", SHORT_PROGRESS_S)
         refusal = self.watcher.check("a")
         assert refusal is not None
         self.assertIs(refusal.reason, Reason.CRASHES_TARGETS)
-        self.assertAlmostEqual(refusal.retry_after_s or 0.0, BLOCKED_AGE_S, delta=1.0)
-        self.assertEqual(len(self.parts.recorded), MIN_CRASHES)
+        self.assertAlmostEqual(
+            refusal.retry_after_s or 0.0, BLOCKED_RETENTION_S, delta=1.0
+        )
+        self.assertEqual(len(self.parts.recorded), MIN_CRASHED_TARGETS)
 
-    async def test_living_target_counts_against_nobody(self) -> None:
-        """Guard against blocking requests whose answers break off at sound targets."""
+    async def test_running_target_counts_against_no_request(self) -> None:
+        """Guard against blocking requests for broken responses of running targets."""
         self.parts.result = ProbeResult.ACCEPTED
         for target in ("x", "y", "z"):
-            await self.cut("a", target, 0.0)
+            await self.interrupt("a", target, 0.0)
         self.assertEqual(self.parts.recorded, [])
         self.assertIsNone(self.watcher.check("a"))
 
-    async def test_requests_cut_together_cost_one_probe(self) -> None:
-        """Guard against a connection to the target for each request that it cut."""
+    async def test_requests_interrupted_together_share_one_probe(self) -> None:
+        """Guard against a connection to the target for each interrupted request."""
         for fingerprint in ("a", "b", "c"):
             self.watcher.note_cut(
                 fingerprint, target="x", address="x:1", progress_s=0.0
@@ -97,46 +106,46 @@
         self.assertEqual(self.parts.probed, ["x:1"])
         self.assertEqual(len(self.parts.recorded), 3)
 
-    async def test_request_that_had_run_for_a_while_is_cleared(self) -> None:
-        """Guard against blocking a long stream that crashes cut again and again."""
+    async def test_request_that_ran_for_a_while_is_cleared(self) -> None:
+        """Guard against blocking a long stream that crashes interrupt repeatedly."""
         for target in ("x", "y", "z"):
-            await self.cut("a", target, BEGAN_S)
-        await self.cut("a", "v", RAN_S)
+            await self.interrupt("a", target, SHORT_PROGRESS_S)
+        await self.interrupt("a", "v", LONG_PROGRESS_S)
         self.assertIsNone(self.watcher.check("a"))
         self.assertEqual(self.parts.cleared, ["a"])
         self.assertNotIn("v:1", self.parts.probed)
 
     async def test_completed_request_is_cleared_once(self) -> None:
-        """Guard against a suspect that stays one though a target completed it."""
-        await self.cut("a", "x", BEGAN_S)
+        """Guard against a request that stays suspected after a target completed it."""
+        await self.interrupt("a", "x", SHORT_PROGRESS_S)
         for _ in range(2):
             self.watcher.note_sound("a")
         self.assertEqual(self.parts.cleared, ["a"])
 
-    async def test_target_that_ends_after_its_caller_has_left_is_seen(self) -> None:
-        """Guard against crashes that nobody sees as the caller is impatient."""
-        await self.cut("a", "x", BEGAN_S)
+    async def test_crash_after_the_caller_left_is_recorded(self) -> None:
+        """Guard against crashes that go unnoticed because the caller left."""
+        await self.interrupt("a", "x", SHORT_PROGRESS_S)
         for fingerprint in ("a", "unknown"):
             self.watcher.note_left(
                 fingerprint, target="y", address="y:1", progress_s=0.0
             )
-        await asyncio.sleep(1.1 * LEFT_S)
+        await asyncio.sleep(1.1 * PROBE_DELAY_S)
         self.assertEqual(self.parts.recorded[1:], [make_crash("a", "y")])
 
-    async def test_peers_and_the_store_count_like_own_crashes(self) -> None:
-        """Guard against hosts that count only the crashes that they saw themselves."""
-        await self.cut("a", "x", BEGAN_S)
+    async def test_crashes_from_peers_and_the_store_count(self) -> None:
+        """Guard against hosts that count only the crashes that they observed."""
+        await self.interrupt("a", "x", SHORT_PROGRESS_S)
         report = CrashReport(host="host-1", crashes=(make_crash("a", "y"),), relay=True)
-        await self.watcher._take_report(report)
-        self.assertEqual(self.parts.relayed, list(report.crashes))
+        await self.watcher._handle_report(report)
+        self.assertEqual(self.parts.written_for_peer, list(report.crashes))
         record = KeyedRecord(key=make_crash("a", "z").key, offset=1, value=b"1")
         self.watcher.take_records([record])
         self.assertIsNotNone(self.watcher.check("a"))
         self.watcher.take_records([KeyedRecord(key=record.key, offset=2, value=None)])
         self.assertIsNone(self.watcher.check("a"))
 
-    async def test_record_that_names_nothing_is_passed_over(self) -> None:
-        """Guard against another writer's record that stops the others."""
+    async def test_malformed_record_is_skipped(self) -> None:
+        """Guard against a malformed record that stops the handling of others."""
         records = [
             KeyedRecord(key=key, offset=number, value=b"1")
             for number, key in enumerate(("", "no separator", "/", "a/x"))
--- a/trefoilstage/components/crashes/__init__.py
+++ b/trefoilstage/components/crashes/__init__.py
@@ -1,1 +1,1 @@
-"""Decide which requests crash the targets that run them."""
+"""Detect and block requests that crash the targets that run them."""
--- a/trefoilstage/components/crashes/evidence.py
+++ b/trefoilstage/components/crashes/evidence.py
@@ -1,8 +1,8 @@
-"""Tell requests that crash targets from those that were under way by chance; pure.
+"""Distinguish requests that crash targets from those interrupted by chance; pure.
 
-Load: while one request crashes a target every second, a dozen sound ones are cut each
-time, some of them again and again as they are repeated elsewhere. Other targets end by
-themselves meanwhile.
+Expected load: while one request crashes a target every second, each crash interrupts a
+dozen harmless requests, some of them repeatedly as they are retried at other targets.
+Other targets stop for unrelated reasons at the same time.
 """
 
 from collections import OrderedDict, defaultdict
@@ -11,116 +11,122 @@
 
 from trefoilstage.components.crashes.models import Crash
 
-# Two targets that end under a sound request are bad luck; three have a cause.
-MIN_CRASHES = 3
-# Bounds the memory of a host and the records in the store, where hundreds of targets
-# with dozens of requests each end.
+# Two targets that crash under a harmless request are chance; three have a cause.
+MIN_CRASHED_TARGETS = 3
+# Limits the memory of a host and the records in the store when hundreds of targets stop
+# while each runs dozens of requests.
 MAX_CRASHES = 4_096
-# A request that comes again within this time is still recognized.
-SUSPECT_AGE_S = 600.0
-# After this, a request that was blocked may run again, as its cause may be mended.
-BLOCKED_AGE_S = 3_600.0
+# A suspected request is recognized if it is repeated within this time.
+SUSPECT_RETENTION_S = 600.0
+# After this time a blocked request may run again, as the cause may have been fixed.
+BLOCKED_RETENTION_S = 3_600.0
 
 
 @dataclass(kw_only=True, slots=True)
 class CrashEvidence:
-    """Hold which targets ended under which requests, the oldest first."""
+    """Record which targets crashed under which requests, the oldest crash first."""
 
     max_crashes: int = MAX_CRASHES
     seen_at: "OrderedDict[Crash, float]" = field(default_factory=OrderedDict)
-    targets: dict[str, set[str]] = field(default_factory=lambda: defaultdict(set))
+    targets_by_fingerprint: dict[str, set[str]] = field(
+        default_factory=lambda: defaultdict(set)
+    )
     blocked: frozenset[str] = frozenset()  # fingerprints
 
     def add(self, crash: Crash, now: float) -> bool:
-        """Take in a crash; tell whether it is news."""
+        """Add a crash; return whether it is new."""
         if crash in self.seen_at:
             return False
         self.seen_at[crash] = now
-        self.targets[crash.fingerprint].add(crash.target)
+        self.targets_by_fingerprint[crash.fingerprint].add(crash.target)
         while len(self.seen_at) > self.max_crashes:
             self.remove(self._find_oldest(crash.fingerprint))
-        self._judge(crash.fingerprint)
+        self._update_blocked(crash.fingerprint)
         return True
 
     def remove(self, crash: Crash) -> None:
-        """Forget a crash."""
+        """Remove a crash."""
         if crash in self.seen_at:
-            self._drop(crash)
-            self._judge(crash.fingerprint)
+            self._delete(crash)
+            self._update_blocked(crash.fingerprint)
 
     def list_all(self) -> dict[str, float]:
-        """Return when each crash was seen, by its key."""
+        """Return the loop time at which each crash was added, by the crash's key."""
         return {crash.key: seen_at for crash, seen_at in self.seen_at.items()}
 
     def list_crashes(self, fingerprint: str) -> list[Crash]:
-        """Return the crashes under a request, in an order of their own."""
+        """Return the crashes under a request, sorted by target."""
         return [
             Crash(fingerprint=fingerprint, target=target)
-            for target in sorted(self.targets.get(fingerprint, ()))
+            for target in sorted(self.targets_by_fingerprint.get(fingerprint, ()))
         ]
 
-    def count_wait(self, fingerprint: str, now: float) -> float:
+    def compute_wait_s(self, fingerprint: str, now: float) -> float:
         """Return the seconds until a blocked request may run again."""
         seen_at = sorted(
             self.seen_at[crash] for crash in self.list_crashes(fingerprint)
         )
-        # Without this crash, too few would be left to block the request.
-        decisive = seen_at[len(seen_at) - MIN_CRASHES]
-        return max(0.0, decisive + BLOCKED_AGE_S - now)
+        # Once this crash expires, too few are left to block the request.
+        decisive_crash_at = seen_at[len(seen_at) - MIN_CRASHED_TARGETS]
+        return max(0.0, decisive_crash_at + BLOCKED_RETENTION_S - now)
 
-    def knows(self, fingerprint: str) -> bool:
-        """Tell whether a target ended under a request."""
-        return fingerprint in self.targets
+    def has_crashes(self, fingerprint: str) -> bool:
+        """Return whether a target crashed under a request."""
+        return fingerprint in self.targets_by_fingerprint
 
     def list_expired(self, now: float) -> list[Crash]:
-        """Return the crashes that no longer count."""
+        """Return the crashes whose retention time has passed."""
         return [
             crash
             for crash, seen_at in self.seen_at.items()
-            if now - seen_at > self._get_age_limit(crash)
+            if now - seen_at > self._get_retention_s(crash)
         ]
 
-    def _get_age_limit(self, crash: Crash) -> float:
-        return BLOCKED_AGE_S if crash.fingerprint in self.blocked else SUSPECT_AGE_S
+    def _get_retention_s(self, crash: Crash) -> float:
+        return (
+            BLOCKED_RETENTION_S
+            if crash.fingerprint in self.blocked
+            else SUSPECT_RETENTION_S
+        )
 
     def _find_oldest(self, newest: str) -> Crash:
-        # What is known of a blocked request must outlast a burst of other crashes.
+        # The crashes of a blocked request must outlast a burst of other crashes.
         kept = self.blocked | {newest}
         suspects = (crash for crash in self.seen_at if crash.fingerprint not in kept)
         return next(suspects, next(iter(self.seen_at)))
 
-    def _drop(self, crash: Crash) -> None:
+    def _delete(self, crash: Crash) -> None:
         del self.seen_at[crash]
-        targets = self.targets[crash.fingerprint]
+        targets = self.targets_by_fingerprint[crash.fingerprint]
         targets.discard(crash.target)
         if not targets:
-            del self.targets[crash.fingerprint]
+            del self.targets_by_fingerprint[crash.fingerprint]
 
-    def _judge(self, changed: str) -> None:
-        n_crashes = len(self.targets.get(changed, ()))
-        if n_crashes >= MIN_CRASHES or changed in self.blocked:
-            self.blocked = find_causes(self.targets)
+    def _update_blocked(self, changed: str) -> None:
+        n_crashes = len(self.targets_by_fingerprint.get(changed, ()))
+        if n_crashes >= MIN_CRASHED_TARGETS or changed in self.blocked:
+            self.blocked = find_causes(self.targets_by_fingerprint)
 
 
-def find_causes(targets: Mapping[str, Iterable[str]]) -> frozenset[str]:
-    """Return the requests that explain why targets ended.
+def find_causes(targets_by_fingerprint: Mapping[str, Iterable[str]]) -> frozenset[str]:
+    """Return the fingerprints of the requests that explain why targets crashed.
 
-    The request under which most targets ended explains those, and only what is left
-    counts against the others. Else the sound requests that were cut together with a
-    crashing one would be blocked as well.
+    The request under which most targets crashed explains those crashes, and only the
+    remaining ones count against other requests. Otherwise, harmless requests that were
+    interrupted together with a crashing one would be blocked as well.
     """
     unexplained = {
-        fingerprint: set(ended)
-        for fingerprint, ended in targets.items()
-        if len(set(ended)) >= MIN_CRASHES
+        fingerprint: set(crashed)
+        for fingerprint, crashed in targets_by_fingerprint.items()
+        if len(set(crashed)) >= MIN_CRASHED_TARGETS
     }
     causes: set[str] = set()
     while unexplained:
-        worst = max(unexplained, key=lambda name: (len(unexplained[name]), name))
-        explained = unexplained.pop(worst)
-        if len(explained) < MIN_CRASHES:
+        likeliest = max(unexplained, key=lambda name: (len(unexplained[name]), name))
+        explained = unexplained.pop(likeliest)
+        if len(explained) < MIN_CRASHED_TARGETS:
             break
-        causes.add(worst)
-        for others in unexplained.values():
-            others.difference_update(explained)
+        causes.add(likeliest)
+        for remaining in unexplained.values():
+            remaining.difference_update(explained)
     return frozenset(causes)
--- a/trefoilstage/components/crashes/fingerprint.py
+++ b/trefoilstage/components/crashes/fingerprint.py
@@ -1,4 +1,4 @@
-"""Recognize a request that comes again; pure."""
+"""Recognize repeated requests; pure."""
 
 import hashlib
 
@@ -8,9 +8,9 @@
 def fingerprint_request(
     *, caller: str, method: str, host: str, path: str, body: bytes
 ) -> str:
-    """Return a digest that a request shares with its repeats alone."""
-    # Cryptographic: with a weaker digest a caller could make up a request that has
-    # the fingerprint of another caller's.
+    """Return a digest that only repeats of the same request share."""
+    # With a digest that is not cryptographic, a caller could construct a request that
+    # has the fingerprint of another caller's request.
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for text in (caller, method, host, path):
         digest.update(f"{len(text)}:{text}".encode())
--- a/trefoilstage/components/crashes/messages.py
+++ b/trefoilstage/components/crashes/messages.py
@@ -1,4 +1,4 @@
-"""Define the message about targets that ended under requests."""
+"""Define the message that reports crashes of targets to peer hosts."""
 
 from dataclasses import dataclass
 from typing import Annotated, Literal
@@ -15,11 +15,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CrashReport:
-    """Tell under which requests targets ended, and which turned out to be sound."""
+    """Report crashes, and requests that turned out to be harmless."""
 
     host: Name
     crashes: Crashes = ()
-    sound: Fingerprints = ()
-    # The host that gets it writes it to the store, which the sender can't reach.
+    sound: Fingerprints = ()  # the harmless requests
+    # Asks the receiver to write the crashes to the store, which the sender can't reach.
     relay: bool = False
     kind: Literal["crash_report"] = "crash_report"
--- a/trefoilstage/components/crashes/probe.py
+++ b/trefoilstage/components/crashes/probe.py
@@ -1,4 +1,4 @@
-"""Tell whether a target still listens."""
+"""Probe whether a target still accepts connections."""
 
 import asyncio
 from enum import StrEnum
@@ -11,7 +11,7 @@
 
 
 class ProbeResult(StrEnum):
-    """Name what became of a connection to a target."""
+    """List the results of connecting to a target."""
 
     ACCEPTED = "accepted"
     REFUSED = "refused"
@@ -19,25 +19,25 @@
 
 
 class TargetProbe(Protocol):
-    """Tell whether a target still listens."""
+    """Check whether a target still accepts connections."""
 
     async def connect(self, address: str) -> ProbeResult:
-        """Open a connection and close it again."""
+        """Open a connection, close it and return the result."""
 
 
 class ConnectProbe:
-    """Open a TCP connection to a target."""
+    """Check a target by opening a TCP connection."""
 
     def __init__(self, *, outbound_address: str) -> None:
         self._outbound_address = outbound_address
 
     async def connect(self, address: str) -> ProbeResult:
-        """Open a connection and close it again, anew if this host stood still."""
+        """Open a connection and close it; try again if this process was stalled."""
         loop = asyncio.get_running_loop()
         while True:
-            due = loop.time() + CONNECT_TIMEOUT_S
+            times_out_at = loop.time() + CONNECT_TIMEOUT_S
             result = await self._connect(address)
-            if result is ProbeResult.SILENT and stood_still(due, loop.time()):
+            if result is ProbeResult.SILENT and stood_still(times_out_at, loop.time()):
                 continue
             return result
 
--- a/trefoilstage/components/crashes/recorder.py
+++ b/trefoilstage/components/crashes/recorder.py
@@ -1,7 +1,8 @@
 """Share crashes with all hosts, through the store and from host to host.
 
-The store keeps them over restarts of all hosts. Peers hear at once, which still works
-while the store is out of reach; a host that alone can't write to it asks a peer to.
+The store keeps crashes across restarts of all hosts. Direct reports reach peers
+immediately, also while the store is unreachable. A host that can't reach the store asks
+a peer that can to write its crashes.
 """
 
 import asyncio
@@ -19,16 +20,16 @@
 from trefoilstage.helpers.events import Event, log_event, shorten
 from trefoilstage.util.hashing import rank_names
 
-TELL_TIMEOUT_S = 0.5
-RETRY_S = 0.5
-# Stands in a record, whose key says all; without a value it would drop the key.
-PRESENT = b"1"
+REPORT_TIMEOUT_S = 0.5
+RETRY_INTERVAL_S = 0.5
+# The key holds all data of a record, but a record without a value deletes its key.
+RECORD_VALUE = b"1"
 
 ListHosts = Callable[[], tuple[str, ...]]
 
 
 class CrashRecorder(Service):
-    """Write crashes to the store and tell peers of them."""
+    """Write crashes to the store and report them to peers."""
 
     def __init__(
         self,
@@ -43,98 +44,102 @@
         self._store = store
         self._links = links
         self._list_live_hosts = list_live_hosts
-        self._unwritten: dict[Crash, bool] = {}  # whether it is to stay
-        self._writing = False
+        self._pending_writes: dict[Crash, bool] = {}  # False deletes
+        self._is_writing = False
 
     def record(self, crashes: Sequence[Crash]) -> None:
-        """Make crashes known to all hosts."""
-        self._write_soon(crashes, keep=True)
-        self._tell_all(CrashReport(host=self._board.host, crashes=tuple(crashes)))
+        """Share crashes with all hosts."""
+        self._schedule_writes(crashes, keep=True)
+        self._report_to_peers(
+            CrashReport(host=self._board.host, crashes=tuple(crashes))
+        )
 
     def clear(self, fingerprint: str, crashes: Sequence[Crash]) -> None:
-        """Make known that a request is sound, whatever ended under it."""
-        self._write_soon(crashes, keep=False)
-        self._tell_all(CrashReport(host=self._board.host, sound=(fingerprint,)))
+        """Share that a request is harmless, and delete its crashes from the store."""
+        self._schedule_writes(crashes, keep=False)
+        self._report_to_peers(CrashReport(host=self._board.host, sound=(fingerprint,)))
 
-    def write(self, crashes: Iterable[Crash]) -> None:
-        """Write crashes for a peer that can't reach the store."""
-        self._write_soon(crashes, keep=True)
+    def write_for_peer(self, crashes: Iterable[Crash]) -> None:
+        """Write crashes to the store for a peer that can't reach it."""
+        self._schedule_writes(crashes, keep=True)
 
-    def erase(self, crashes: Iterable[Crash]) -> None:
-        """Take crashes that no longer count out of the store."""
-        self._write_soon(crashes, keep=False)
+    def delete(self, crashes: Iterable[Crash]) -> None:
+        """Delete crashes that no longer count from the store."""
+        self._schedule_writes(crashes, keep=False)
 
-    def _write_soon(self, crashes: Iterable[Crash], *, keep: bool) -> None:
+    def _schedule_writes(self, crashes: Iterable[Crash], *, keep: bool) -> None:
         for crash in crashes:
-            self._unwritten.pop(crash, None)
-            self._unwritten[crash] = keep
-        while len(self._unwritten) > MAX_CRASHES:
-            left_out = next(iter(self._unwritten))
-            del self._unwritten[left_out]
-            log_event(Event.CRASH_LEFT_OUT, key=left_out.key)
-        if self._unwritten and not self._writing:
-            self._writing = True
+            self._pending_writes.pop(crash, None)
+            self._pending_writes[crash] = keep
+        while len(self._pending_writes) > MAX_CRASHES:
+            dropped = next(iter(self._pending_writes))
+            del self._pending_writes[dropped]
+            log_event(Event.CRASH_LEFT_OUT, key=dropped.key)
+        if self._pending_writes and not self._is_writing:
+            self._is_writing = True
             self.add_future(self._write_all())
 
     async def _write_all(self) -> None:
         try:
-            while self._unwritten:
-                crash, keep = next(iter(self._unwritten.items()))
+            while self._pending_writes:
+                crash, keep = next(iter(self._pending_writes.items()))
                 if not await self._write(crash, keep=keep):
-                    await asyncio.sleep(RETRY_S)
+                    await asyncio.sleep(RETRY_INTERVAL_S)
         finally:
-            self._writing = False
+            self._is_writing = False
 
     async def _write(self, crash: Crash, *, keep: bool) -> bool:
-        """Write one record; tell whether the store took it."""
+        """Write or delete one record; return whether the store accepted it."""
         try:
-            await self._store.put(Topic.CRASHES, crash.key, PRESENT if keep else None)
+            await self._store.put(
+                Topic.CRASHES, crash.key, RECORD_VALUE if keep else None
+            )
         except StoreUnavailableError as error:
             log_event(Event.STORE_WRITE_FAILED, topic=Topic.CRASHES, error=str(error))
-            await self._ask_peer()
-            self._put_behind(crash)
+            await self._ask_peer_to_write()
+            self._move_to_end(crash)
             return False
-        if self._unwritten.get(crash) is keep:
-            del self._unwritten[crash]
+        if self._pending_writes.get(crash) is keep:
+            del self._pending_writes[crash]
         return True
 
-    def _put_behind(self, crash: Crash) -> None:
-        # A record that the store refuses for good must not hold up the others.
-        keep = self._unwritten.pop(crash, None)
+    def _move_to_end(self, crash: Crash) -> None:
+        # A record that the store permanently refuses must not block the others.
+        keep = self._pending_writes.pop(crash, None)
         if keep is not None:
-            self._unwritten[crash] = keep
+            self._pending_writes[crash] = keep
 
-    async def _ask_peer(self) -> None:
-        """Ask a peer that reaches the store to write what this host can't."""
-        writer = self._pick_writer()
-        crashes = tuple(crash for crash, keep in self._unwritten.items() if keep)
+    async def _ask_peer_to_write(self) -> None:
+        """Ask a peer that reaches the store to write the pending crashes."""
+        writer = self._select_writer()
+        crashes = tuple(crash for crash, keep in self._pending_writes.items() if keep)
         if writer is None or not crashes:
             return
         report = CrashReport(host=self._board.host, crashes=crashes, relay=True)
-        await self._tell(writer, report)
+        await self._send_report(writer, report)
 
-    def _pick_writer(self) -> PeerState | None:
-        able = tuple(
+    def _select_writer(self) -> PeerState | None:
+        reaching = tuple(
             host
             for host in self._list_live_hosts()
             if host in self._board.peers and self._board.reaches_store(host)
         )
-        ranked = rank_names(self._board.host, able)
+        ranked = rank_names(self._board.host, reaching)
         return self._board.peers[ranked[0]] if ranked else None
 
-    def _tell_all(self, report: CrashReport) -> None:
+    def _report_to_peers(self, report: CrashReport) -> None:
         if self._board.is_large():
-            # Each reads the store; told by each host of hundreds, one target's end
-            # would cost all of them a message for each.
+            # Every host reads crashes from the store. If each of hundreds of hosts also
+            # reported a target's crash, each would receive hundreds of messages.
             return
         for peer in self._board.peers.values():
             if peer.serving and not peer.failed:
-                self.add_future(self._tell(peer, report))
+                self.add_future(self._send_report(peer, report))
 
-    async def _tell(self, peer: PeerState, report: CrashReport) -> None:
+    async def _send_report(self, peer: PeerState, report: CrashReport) -> None:
         link = self._links.get_link(peer.peer_url)
         try:
-            await link.tell(report, timeout_s=TELL_TIMEOUT_S)
+            await link.tell(report, timeout_s=REPORT_TIMEOUT_S)
         except PeerUnavailableError as error:
             log_event(
                 Event.CRASH_REPORT_UNSENT, peer=peer.host, error=shorten(str(error))
--- a/trefoilstage/components/crashes/watcher.py
+++ b/trefoilstage/components/crashes/watcher.py
@@ -1,8 +1,9 @@
-"""Find out which requests crash targets, and block them.
+"""Detect requests that crash targets, and block them.
 
-A target that ends cuts all requests under way. One that had been sending for a while
-did not end it by beginning to run, and one that ever completes does not crash its
-targets. The others are noted with the target, on all hosts; `evidence` judges them.
+A target that stops interrupts all its running requests. A request that had been running
+for a while did not crash the target by starting, and a request that ever completes does
+not crash its targets. All other interrupted requests are recorded with the target on
+all hosts, and `evidence` decides which of them to block.
 """
 
 import asyncio
@@ -25,16 +26,16 @@
 from trefoilstage.timer import TimerService
 from trefoilstage.util.hashing import rank_names
 
-# A request that crashes the targets that begin to run it does so within a few steps
-# of the engine, also of a slow one.
-BEGINNING_S = 1.0
-EXPIRE_S = 5.0
-# A target whose caller has left ends this much later at most, if the request ends it.
-LEFT_S = 0.5
+# A request that crashes targets does so within a few engine steps of its start, which
+# take less time than this even on a slow engine.
+MAX_SUSPECT_PROGRESS_S = 1.0
+EXPIRY_INTERVAL_S = 5.0
+# If a request crashes its target after the caller has left, it does so by this time.
+PROBE_DELAY_S = 0.5
 
 
 class CrashWatcher(Service):
-    """Judge requests by the targets that ended under them."""
+    """Block requests under which several targets have crashed."""
 
     def __init__(
         self,
@@ -52,34 +53,38 @@
         self._recorder = recorder
         self._timer = timer
         self._list_live_hosts = list_live_hosts
-        self._cut: dict[str, set[str]] = defaultdict(set)  # by target being probed
+        # Fingerprints of interrupted requests, by the target being probed.
+        self._interrupted: dict[str, set[str]] = defaultdict(set)
         self.evidence = CrashEvidence()
-        server.register(CrashReport, self._take_report)
+        server.register(CrashReport, self._handle_report)
 
     async def on_start(self) -> None:
-        """Start to forget what is too old."""
+        """Start removing expired crashes."""
         self._unsubscribe = self._timer.subscribe(
-            name="crashes", interval_s=EXPIRE_S, callback=self._expire
+            name="crashes", interval_s=EXPIRY_INTERVAL_S, callback=self._expire
         )
 
     async def on_stop(self) -> None:
-        """Stop forgetting."""
+        """Stop removing expired crashes."""
         self._unsubscribe()
 
     def check(self, fingerprint: str) -> Refusal | None:
-        """Return the refusal of a request that crashes the targets that run it."""
+        """Return a refusal for a blocked request, None for any other."""
         if fingerprint not in self.evidence.blocked:
             return None
         return Refusal(
             reason=Reason.CRASHES_TARGETS,
-            retry_after_s=self.evidence.count_wait(fingerprint, self._now()),
+            retry_after_s=self.evidence.compute_wait_s(fingerprint, self._now()),
         )
 
     def note_cut(
         self, fingerprint: str, *, target: str, address: str, progress_s: float
     ) -> None:
-        """Take in that a target broke off an answer or gave none."""
-        if progress_s > BEGINNING_S:
+        """Record that a target broke off a response or sent none.
+
+        `progress_s` is the time for which the response had been arriving.
+        """
+        if progress_s > MAX_SUSPECT_PROGRESS_S:
             self.note_sound(fingerprint)
             return
         self._suspect(fingerprint, target, address)
@@ -87,33 +92,37 @@
     def note_left(
         self, fingerprint: str, *, target: str, address: str, progress_s: float
     ) -> None:
-        """Take in that a caller left, or its deadline passed, before the answer's end.
+        """Record that a caller left, or its deadline passed, before the response ended.
 
-        The target may have begun to run the request and end unseen. Only for a request
-        that has met an ended target, as many callers leave and each probe costs one.
+        The request may crash the target unobserved. Only requests with a recorded crash
+        are checked, because many callers leave and each check costs a connection.
         """
-        if progress_s <= BEGINNING_S and self.evidence.knows(fingerprint):
-            self.add_future(self._suspect_later(fingerprint, target, address))
+        if progress_s <= MAX_SUSPECT_PROGRESS_S and self.evidence.has_crashes(
+            fingerprint
+        ):
+            self.add_future(self._suspect_after_delay(fingerprint, target, address))
 
-    async def _suspect_later(self, fingerprint: str, target: str, address: str) -> None:
-        await asyncio.sleep(LEFT_S)
+    async def _suspect_after_delay(
+        self, fingerprint: str, target: str, address: str
+    ) -> None:
+        await asyncio.sleep(PROBE_DELAY_S)
         self._suspect(fingerprint, target, address)
 
     def _suspect(self, fingerprint: str, target: str, address: str) -> None:
-        is_probed = target in self._cut
-        self._cut[target].add(fingerprint)
-        if not is_probed:
+        is_being_probed = target in self._interrupted
+        self._interrupted[target].add(fingerprint)
+        if not is_being_probed:
             self.add_future(self._probe_target(target, address))
 
     def note_sound(self, fingerprint: str) -> None:
-        """Take in that a target ran a request and went on."""
-        if self.evidence.knows(fingerprint):
+        """Record that a target ran a request without crashing."""
+        if self.evidence.has_crashes(fingerprint):
             crashes = self.evidence.list_crashes(fingerprint)
-            self._forget(crashes, "ran")
+            self._remove_crashes(crashes, "ran")
             self._recorder.clear(fingerprint, crashes)
 
     def take_records(self, records: Iterable[KeyedRecord]) -> None:
-        """Take in what the store says of crashes."""
+        """Apply crash records from the store."""
         for record in records:
             try:
                 crash = decode_crash(record)
@@ -126,67 +135,69 @@
                 )
                 continue
             if record.value is None:
-                self._forget([crash], "erased")
+                self._remove_crashes([crash], "erased")
             else:
-                self._add(crash)
+                self._add_crash(crash)
 
     async def _probe_target(self, target: str, address: str) -> None:
         result = await self._probe.connect(address)
-        fingerprints = self._cut.pop(target)
+        fingerprints = self._interrupted.pop(target)
         if result is ProbeResult.ACCEPTED:
-            # It broke off answers and goes on.
+            # The target broke off responses but is still running.
             return
         log_event(
             Event.TARGET_ENDED, target=target, connect=result, n_cut=len(fingerprints)
         )
         crashes = [make_crash(name, target) for name in sorted(fingerprints)]
         for crash in crashes:
-            self._add(crash)
+            self._add_crash(crash)
         self._recorder.record(crashes)
 
-    async def _take_report(self, report: CrashReport) -> None:
+    async def _handle_report(self, report: CrashReport) -> None:
         for crash in report.crashes:
-            self._add(crash)
+            self._add_crash(crash)
         for fingerprint in report.sound:
-            self._forget(self.evidence.list_crashes(fingerprint), "ran")
+            self._remove_crashes(self.evidence.list_crashes(fingerprint), "ran")
         if report.relay:
-            self._recorder.write(report.crashes)
+            self._recorder.write_for_peer(report.crashes)
 
-    def _add(self, crash: Crash) -> None:
-        before = self.evidence.blocked
+    def _add_crash(self, crash: Crash) -> None:
+        previously_blocked = self.evidence.blocked
         if self.evidence.add(crash, self._now()):
-            self._log_changes(before, "crashed")
+            self._log_changes(previously_blocked, "crashed")
 
-    def _forget(self, crashes: Sequence[Crash], reason: str) -> None:
-        before = self.evidence.blocked
+    def _remove_crashes(self, crashes: Sequence[Crash], reason: str) -> None:
+        previously_blocked = self.evidence.blocked
         for crash in crashes:
             self.evidence.remove(crash)
-        self._log_changes(before, reason)
+        self._log_changes(previously_blocked, reason)
 
-    def _log_changes(self, before: frozenset[str], reason: str) -> None:
+    def _log_changes(self, previously_blocked: frozenset[str], reason: str) -> None:
         blocked = self.evidence.blocked
-        for fingerprint in blocked - before:
+        for fingerprint in blocked - previously_blocked:
             log_event(
                 Event.REQUEST_BLOCKED,
                 fingerprint=fingerprint,
-                targets=",".join(sorted(self.evidence.targets[fingerprint])),
+                targets=",".join(
+                    sorted(self.evidence.targets_by_fingerprint[fingerprint])
+                ),
             )
-        for fingerprint in before - blocked:
+        for fingerprint in previously_blocked - blocked:
             log_event(Event.REQUEST_UNBLOCKED, fingerprint=fingerprint, reason=reason)
 
     async def _expire(self) -> None:
         expired = self.evidence.list_expired(self._now())
         if not expired:
             return
-        self._forget(expired, "expired")
+        self._remove_crashes(expired, "expired")
         live = self._list_live_hosts()
-        # One host erases a record; any other would write the same.
-        own = [
+        # One host deletes each record; deletions by the others would be redundant.
+        assigned = [
             crash
             for crash in expired
             if rank_names(crash.fingerprint, live)[:1] == (self._host,)
         ]
-        self._recorder.erase(own)
+        self._recorder.delete(assigned)
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
