--- a/tests/components/targets/test_directory.py
+++ b/tests/components/targets/test_directory.py
@@ -96,16 +96,16 @@
         Its entry looks like a delayed entry of a previous incarnation, and it registers
         only once. When the entry was ignored, the target stayed unlisted permanently.
         """
-        again = make_target("engine-0", started_ms=1_500, address="127.0.0.1:3")
-        self.assertFalse(self.targets.add(again))
+        restarted = make_target("engine-0", started_ms=1_500, address="127.0.0.1:3")
+        self.assertFalse(self.targets.add(restarted))
         self.assertEqual(self.list_ready(), [self.new])
         self.assertTrue(self.targets.give_way(self.new))
-        self.assertEqual(self.list_ready(), [again])
-        self.assertTrue(self.targets.add(again))
-        self.assertEqual(self.list_ready(), [again])
+        self.assertEqual(self.list_ready(), [restarted])
+        self.assertTrue(self.targets.add(restarted))
+        self.assertEqual(self.list_ready(), [restarted])
         third = make_target("engine-0", started_ms=9_000)
         self.assertTrue(self.targets.add(third))
-        self.assertFalse(self.targets.add(again))
+        self.assertFalse(self.targets.add(restarted))
         self.assertFalse(self.targets.give_way(third))
 
     def test_delayed_entry_of_an_unknown_start_is_replaced_again(self) -> None:
@@ -136,13 +136,13 @@
 
     def test_entry_or_removal_of_the_latest_start_clears_the_other(self) -> None:
         """Guard against using an earlier start after an update of the latest one."""
-        again = make_target("engine-0", started_ms=1_500)
-        for forget in (
+        earlier = make_target("engine-0", started_ms=1_500)
+        for clear_other in (
             lambda: self.targets.add(self.new),
             lambda: self.targets.drop("engine-0", 100.0, NEVER),
         ):
-            self.targets.add(again)
-            forget()
+            self.targets.add(earlier)
+            clear_other()
             self.assertFalse(self.targets.give_way(self.new))
             self.targets.remove(self.new)
             self.assertEqual(self.list_ready(), [])
@@ -159,9 +159,9 @@
             make_target("engine-0", started_ms=2_000, phase=TargetPhase.DRAINING)
         )
         self.assertEqual(self.list_ready(), [])
-        again = make_target("engine-0", started_ms=3_000)
-        self.targets.add(again)
-        self.assertEqual(self.list_ready(), [again])
+        restarted = make_target("engine-0", started_ms=3_000)
+        self.targets.add(restarted)
+        self.assertEqual(self.list_ready(), [restarted])
 
     def test_response_at_the_previous_address_keeps_the_new_start(self) -> None:
         """Guard against removing the new start for a response at the previous address.
@@ -176,10 +176,10 @@
 
     def test_other_start_is_used_if_another_target_has_the_address(self) -> None:
         """Guard against losing a target when another one has the latest address."""
-        again = make_target("engine-0", started_ms=1_500, address="127.0.0.1:3")
-        self.targets.add(again)
+        restarted = make_target("engine-0", started_ms=1_500, address="127.0.0.1:3")
+        self.targets.add(restarted)
         self.targets.remove(self.new)
-        self.assertEqual(self.list_ready(), [again])
+        self.assertEqual(self.list_ready(), [restarted])
 
     def test_number_of_tracked_names_is_limited(self) -> None:
         """Guard against memory that grows with each new name."""
--- a/tests/components/targets/test_health.py
+++ b/tests/components/targets/test_health.py
@@ -1,4 +1,4 @@
-"""Test ejection, probing and the retry budget."""
+"""Test ejection, probing and the retry credit."""
 
 import unittest
 
--- a/trefoilstage/components/targets/directory.py
+++ b/trefoilstage/components/targets/directory.py
@@ -1,4 +1,7 @@
-"""List the registered targets that may receive new requests; pure."""
+"""List the registered targets that may receive new requests; pure.
+
+An incarnation is one run of a target. A restart changes it, but not the target's name.
+"""
 
 from dataclasses import dataclass, field
 
--- a/trefoilstage/components/targets/dispatcher.py
+++ b/trefoilstage/components/targets/dispatcher.py
@@ -111,6 +111,7 @@
         return response is not None and response.ended and not response.usage.total
 
     async def _confirm_serving(self, job: Job, place: Place) -> bool:
+        """Return whether the target is confirmed as serving; if not, free the place."""
         confirmed = False
         try:
             confirmed = await self._serving_check.confirm(place.candidate.name)
--- a/trefoilstage/components/targets/health.py
+++ b/trefoilstage/components/targets/health.py
@@ -23,7 +23,7 @@
     ejected_until: float | None = None
     busy_until: float = 0.0
     probing: bool = False
-    retries: float = MAX_RETRY_CREDIT
+    retries: float = MAX_RETRY_CREDIT  # the remaining retry credit
 
     def may_send(self, now: float, *, retry: bool) -> bool:
         """Return whether a request may be sent to the target."""
@@ -65,8 +65,9 @@
         """Record a connect timeout; return whether it ejects the target.
 
         One timeout is enough. With the three failures required otherwise, each host let
-        three callers wait 0.4 s for a target that had become unreachable. A target that
-        refuses connections costs its callers no time and, with three, returns sooner.
+        three callers wait 0.4 s for a target that had become unreachable. Refused
+        connections cost callers no time, and a target that refuses them returns sooner
+        if they count as ordinary failures.
         """
         self.n_failures = max(self.n_failures, MAX_FAILURES - 1)
         return self.note_failure(now)
--- a/trefoilstage/components/targets/roles.py
+++ b/trefoilstage/components/targets/roles.py
@@ -28,7 +28,7 @@
         self._blackboard = blackboard
         self._targets = targets
         self._timer = timer
-        self._told: dict[str, TargetState] = {}
+        self._told: dict[str, TargetState] = {}  # the state last sent, by target
 
     async def on_start(self) -> None:
         """Start watching the targets' states."""
