--- a/trefoilstage/components/booking/__init__.py
+++ b/trefoilstage/components/booking/__init__.py
@@ -1,1 +1,1 @@
-"""Decide whether a call that may run once may run now, by intents on the log."""
+"""Run calls to plain services, at most once where they are not idempotent."""
--- a/trefoilstage/components/booking/client.py
+++ b/trefoilstage/components/booking/client.py
@@ -2,7 +2,7 @@
 
 import aiohttp
 
-from trefoilstage.components.booking.models import ServiceAnswer, ServiceCall
+from trefoilstage.components.booking.models import ServiceCall, ServiceResponse
 from trefoilstage.components.callers.models import Caller
 from trefoilstage.const import (
     HEADER_IDEMPOTENCY_KEY,
@@ -13,12 +13,12 @@
 from trefoilstage.helpers.verdict import Effect, Reason, Refusal
 
 CONNECT_TIMEOUT_S = 1.0
-MAX_ANSWER_BYTES = 1_000_000
+MAX_RESPONSE_BYTES = 1_000_000
 RETRY_AFTER_SERVICE_S = 1.0
 
 
 class ServiceClient:
-    """Send a call and tell whether any of it can have reached the service."""
+    """Send a call and report whether any of it can have reached the service."""
 
     def __init__(
         self, *, session: aiohttp.ClientSession, once_session: aiohttp.ClientSession
@@ -32,12 +32,12 @@
         call: ServiceCall,
         url: str,
         *,
-        once: bool,
+        at_most_once: bool,
         timeout_s: float,
-    ) -> ServiceAnswer | Refusal:
-        """Return the answer, or a refusal that says whether the call may have run."""
-        session = self._once_session if once else self._session
-        attempt = Attempt(once=once)
+    ) -> ServiceResponse | Refusal:
+        """Return the response, or a refusal that says whether the call may have run."""
+        session = self._once_session if at_most_once else self._session
+        attempt = Attempt(once=at_most_once)
         headers = {
             HEADER_REQUEST_ID: caller.request,
             HEADER_WORKSPACE: caller.workspace,
@@ -53,37 +53,37 @@
                 timeout=aiohttp.ClientTimeout(
                     total=timeout_s, sock_connect=CONNECT_TIMEOUT_S
                 ),
-                # A followed redirect would send the call a second time.
+                # Following a redirect would send the call a second time.
                 allow_redirects=False,
                 trace_request_ctx=attempt,
             ) as response:
-                body = await read_bounded(response)
+                body = await read_limited_body(response)
         except (aiohttp.ClientError, TimeoutError, OSError, RepeatedSendError):
-            return refuse_broken(attempt)
+            return refuse_incomplete_call(attempt)
         if body is None:
-            return refuse_broken(attempt)
-        return ServiceAnswer(
+            return refuse_incomplete_call(attempt)
+        return ServiceResponse(
             status=response.status, body=body, content_type=response.content_type
         )
 
 
-def refuse_broken(attempt: Attempt) -> Refusal:
-    """Return the refusal of a call that got no whole answer."""
+def refuse_incomplete_call(attempt: Attempt) -> Refusal:
+    """Return the refusal for a call without a complete response."""
     if attempt.n_sent == 0:
         return Refusal(reason=Reason.NO_TARGET, retry_after_s=RETRY_AFTER_SERVICE_S)
     return Refusal(
         reason=Reason.OUTCOME_UNKNOWN,
         effect=Effect.UNKNOWN,
-        detail="the service gave no whole answer; the call may have run",
+        detail="the service sent no complete response; the call may have run",
         retry_after_s=RETRY_AFTER_SERVICE_S,
     )
 
 
-async def read_bounded(response: aiohttp.ClientResponse) -> bytes | None:
-    """Return a body, or None when it is larger than a host may hold."""
+async def read_limited_body(response: aiohttp.ClientResponse) -> bytes | None:
+    """Return a response body, or None if it exceeds MAX_RESPONSE_BYTES."""
     body = bytearray()
-    async for part in response.content.iter_any():
-        body += part
-        if len(body) > MAX_ANSWER_BYTES:
+    async for chunk in response.content.iter_any():
+        body += chunk
+        if len(body) > MAX_RESPONSE_BYTES:
             return None
     return bytes(body)
--- a/trefoilstage/components/booking/controller.py
+++ b/trefoilstage/components/booking/controller.py
@@ -1,4 +1,9 @@
-"""Run calls of plain services; those that are not idempotent at most once."""
+"""Run calls to plain services; a call that is not idempotent runs at most once.
+
+Before such a call is sent, an intent record reserves its idempotency key on the log.
+Afterwards an outcome record stores the result for retries, or an abandon record
+frees the key if the call did not run.
+"""
 
 import asyncio
 from collections.abc import Coroutine
@@ -8,13 +13,13 @@
 from trefoilstage.blackboard import Blackboard
 from trefoilstage.components.booking.client import RETRY_AFTER_SERVICE_S, ServiceClient
 from trefoilstage.components.booking.intents import (
-    Standing,
-    answer_standing,
-    count_cost,
-    judge_intent,
+    IntentStatus,
+    answer_repeated_call,
+    compute_cost_tokens,
+    get_intent_status,
     make_outcome,
 )
-from trefoilstage.components.booking.models import ServiceAnswer, ServiceCall
+from trefoilstage.components.booking.models import ServiceCall, ServiceResponse
 from trefoilstage.components.budget.controller import BudgetController, Reservation
 from trefoilstage.components.callers.models import Caller
 from trefoilstage.components.log_client.stream import Ticket
@@ -35,18 +40,18 @@
 
 RETRY_AFTER_LOG_S = 2.0
 OUTCOME_WAIT_S = 2.0
-OUTCOME_POLL_S = 0.02
-MAX_CLAIMS = 3
-MAX_TRIES = 3
-RETRIED_STATUSES = frozenset({502, 503, 504})
+OUTCOME_POLL_INTERVAL_S = 0.02
+MAX_INTENT_ATTEMPTS = 3
+MAX_URLS_TRIED = 3
+RETRYABLE_STATUSES = frozenset({502, 503, 504})
 
-Result = ServiceAnswer | Refusal
+CallResult = ServiceResponse | Refusal
 LOG_REFUSAL = Refusal(reason=Reason.LOG_UNAVAILABLE, retry_after_s=RETRY_AFTER_LOG_S)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Job:
-    """Hold one call with what the configuration says of it."""
+class CallContext:
+    """Describe a call with its caller and the configuration that applies to it."""
 
     caller: Caller
     call: ServiceCall
@@ -54,13 +59,13 @@
     operation: OperationConfig
 
     def list_urls(self) -> list[str]:
-        """Return where the call may be sent, best first."""
+        """Return the URLs to try, in rendezvous order for the call's key."""
         ranked = rank_by_rendezvous(self.caller.key, self.service.urls)
-        return [f"{url}{self.operation.path}" for url in ranked[:MAX_TRIES]]
+        return [f"{url}{self.operation.path}" for url in ranked[:MAX_URLS_TRIED]]
 
 
 class BookingController:
-    """Send service calls, with an intent on the log where they may not repeat."""
+    """Send service calls; record an intent first if they are not idempotent."""
 
     def __init__(
         self,
@@ -76,147 +81,171 @@
         self._budget = budget
         self._client = client
         self._admission_wait_s = admission_wait_s
-        # Runs of this host by key, until their outcome is on the log.
-        self._runs: dict[str, asyncio.Future[Result]] = {}
+        # Results of the calls this host runs, by key, until the log has their outcome.
+        self._runs: dict[str, asyncio.Future[CallResult]] = {}
 
-    async def run(self, caller: Caller, call: ServiceCall) -> Result:
-        """Return the service's answer, or why there is none."""
+    async def run(self, caller: Caller, call: ServiceCall) -> CallResult:
+        """Return the service's response, or the refusal if there is none."""
         service = self._blackboard.configuration.services.get(call.service)
         operation = service.operations.get(call.operation) if service else None
         if service is None or operation is None:
             return Refusal(reason=Reason.UNKNOWN_SERVICE)
         if operation.method != call.method:
             return Refusal(
-                reason=Reason.METHOD_NOT_ALLOWED, detail=f"{operation.method} expected"
+                reason=Reason.METHOD_NOT_ALLOWED,
+                detail=f"this operation requires method {operation.method}",
             )
-        job = Job(caller=caller, call=call, service=service, operation=operation)
+        context = CallContext(
+            caller=caller, call=call, service=service, operation=operation
+        )
         if operation.idempotent:
-            return await self._finish(job, self._run_idempotent(job))
+            return await self._run_detached(context, self._run_idempotent(context))
         if not call.has_key:
             return Refusal(
-                reason=Reason.KEY_REQUIRED, detail="Idempotency-Key expected"
+                reason=Reason.KEY_REQUIRED,
+                detail="this operation requires an Idempotency-Key header",
             )
-        return await self._finish(job, self._run_once(job))
+        return await self._run_detached(context, self._run_at_most_once(context))
 
-    async def _finish(self, job: Job, run: Coroutine[Any, Any, Result]) -> Result:
-        # A caller that hangs up cancels its handler. Were the call sent from
-        # there, its outcome would be lost although the service acted on it. A
-        # task of its own records the outcome whatever the caller does, and a
-        # graceful shutdown waits for the tasks in "closing".
-        task = asyncio.create_task(run)
+    async def _run_detached(
+        self, context: CallContext, coroutine: Coroutine[Any, Any, CallResult]
+    ) -> CallResult:
+        # When a caller disconnects, its handler is cancelled. A call sent from the
+        # handler would lose its outcome although the service acted on it. A
+        # separate task records the outcome in every case, and a graceful shutdown
+        # waits for the tasks in "closing".
+        task = asyncio.create_task(coroutine)
         self._blackboard.closing.add(task)
         task.add_done_callback(self._blackboard.closing.discard)
-        done, _ = await asyncio.wait({task}, timeout=job.caller.deadline_s)
+        done, _ = await asyncio.wait({task}, timeout=context.caller.deadline_s)
         if done:
             return task.result()
-        return answer_standing(Standing.RUNNING, None)
+        return answer_repeated_call(IntentStatus.RUNNING, None)
 
-    async def _run_idempotent(self, job: Job) -> Result:
-        reservation = await self._reserve(job)
+    async def _run_idempotent(self, context: CallContext) -> CallResult:
+        reservation = await self._reserve(context)
         if isinstance(reservation, Refusal):
             return reservation
-        answer = await self._try_servers(job)
-        self._settle(job, reservation, answer)
-        return answer
+        result = await self._send_idempotent(context)
+        self._settle(context, reservation, result)
+        return result
 
-    async def _try_servers(self, job: Job) -> Result:
-        answer: Result = Refusal(reason=Reason.NO_TARGET)
-        broken: Refusal | None = None
-        for url in job.list_urls():
-            answer = await self._send(job, url, once=False)
-            if isinstance(answer, ServiceAnswer):
-                if answer.status not in RETRIED_STATUSES:
-                    return answer
-            elif answer.effect is Effect.UNKNOWN:
-                broken = answer
-        # A later server that could not be reached does not undo what an
-        # earlier one may have run.
-        return answer if isinstance(answer, ServiceAnswer) else broken or answer
+    async def _send_idempotent(self, context: CallContext) -> CallResult:
+        result: CallResult = Refusal(reason=Reason.NO_TARGET)
+        unknown_refusal: Refusal | None = None
+        for url in context.list_urls():
+            result = await self._send(context, url, at_most_once=False)
+            if isinstance(result, ServiceResponse):
+                if result.status not in RETRYABLE_STATUSES:
+                    return result
+            elif result.effect is Effect.UNKNOWN:
+                unknown_refusal = result
+        # An earlier server may have run the call, even if a later one could not
+        # be reached.
+        return (
+            result if isinstance(result, ServiceResponse) else unknown_refusal or result
+        )
 
-    async def _run_once(self, job: Job) -> Result:
-        number = self._streams.pick_number(f"workspace:{job.caller.workspace}")
+    async def _run_at_most_once(self, context: CallContext) -> CallResult:
+        stream_number = self._streams.pick_number(
+            f"workspace:{context.caller.workspace}"
+        )
         intent = Intent(
-            key=job.caller.key,
-            workspace=job.caller.workspace,
-            service=job.call.name,
-            body_digest=hash_call(job.call.name, job.call.body),
+            key=context.caller.key,
+            workspace=context.caller.workspace,
+            service=context.call.qualified_name,
+            body_digest=hash_call(context.call.qualified_name, context.call.body),
         )
-        for _ in range(MAX_CLAIMS):
-            answer = await self._follow(number, intent)
-            if answer is None:
-                answer = await self._claim_and_send(job, number, intent)
-            if answer is not None:
-                return answer
-        return answer_standing(Standing.RUNNING, None)
+        for _ in range(MAX_INTENT_ATTEMPTS):
+            result = await self._wait_for_earlier_run(stream_number, intent)
+            if result is None:
+                result = await self._record_intent_and_send(
+                    context, stream_number, intent
+                )
+            if result is not None:
+                return result
+        return answer_repeated_call(IntentStatus.RUNNING, None)
 
-    async def _claim_and_send(
-        self, job: Job, number: int, intent: Intent
-    ) -> Result | None:
-        if not self._blackboard.streams[f"{LEDGER_STREAM_PREFIX}{number}"].reachable:
+    async def _record_intent_and_send(
+        self, context: CallContext, stream_number: int, intent: Intent
+    ) -> CallResult | None:
+        """Return the result, None when another call's intent has the key."""
+        if not self._blackboard.streams[
+            f"{LEDGER_STREAM_PREFIX}{stream_number}"
+        ].reachable:
             return LOG_REFUSAL
-        reservation = await self._reserve(job)
+        reservation = await self._reserve(context)
         if isinstance(reservation, Refusal):
             return reservation
-        verdict = await self._claim(number, intent)
+        verdict = await self._record_intent(stream_number, intent)
         if not isinstance(verdict, Accepted):
-            self._settle(job, reservation, LOG_REFUSAL)
+            self._settle(context, reservation, LOG_REFUSAL)
             return verdict if isinstance(verdict, Refusal) else None
-        run: asyncio.Future[Result] = asyncio.get_running_loop().create_future()
+        run: asyncio.Future[CallResult] = asyncio.get_running_loop().create_future()
         self._runs[intent.key] = run
-        answer = await self._send_once(job)
-        self._settle(job, reservation, answer)
-        run.set_result(answer)
-        self._record(number, intent.key, answer)
-        return answer
+        result = await self._send_at_most_once(context)
+        self._settle(context, reservation, result)
+        run.set_result(result)
+        self._record_outcome(stream_number, intent.key, result)
+        return result
 
-    async def _claim(self, number: int, intent: Intent) -> Verdict | Refusal:
-        ticket = self._streams.submit_ledger(number, intent)
+    async def _record_intent(
+        self, stream_number: int, intent: Intent
+    ) -> Verdict | Refusal:
+        ticket = self._streams.submit_ledger(stream_number, intent)
         try:
             async with asyncio.timeout(self._admission_wait_s):
                 verdict = await asyncio.shield(ticket.future)
         except TimeoutError:
-            self._give_up(number, intent.key, ticket)
+            self._withdraw_intent(stream_number, intent.key, ticket)
             return LOG_REFUSAL
         if isinstance(verdict, Rejected) and verdict.reason is Reason.NOT_READY:
-            self._abandon(number, intent.key)
+            self._abandon_intent(stream_number, intent.key)
             return LOG_REFUSAL
         return verdict
 
-    def _give_up(self, number: int, key: str, ticket: Ticket) -> None:
-        if self._streams.ledgers[number].withdraw(ticket):
+    def _withdraw_intent(self, stream_number: int, key: str, ticket: Ticket) -> None:
+        if self._streams.ledgers[stream_number].withdraw(ticket):
             return
 
-        def abandon(future: asyncio.Future[Verdict]) -> None:
-            # The intent may still land after the caller was told "not run".
-            # It would hold the key for ever, so its owner takes it back.
+        def abandon_if_accepted(future: asyncio.Future[Verdict]) -> None:
+            # The intent may reach the log after the caller received "not run". It
+            # would reserve the key permanently, so its owner abandons it.
             if not future.cancelled() and isinstance(future.result(), Accepted):
-                self._abandon(number, key)
+                self._abandon_intent(stream_number, key)
 
-        ticket.future.add_done_callback(abandon)
+        ticket.future.add_done_callback(abandon_if_accepted)
 
-    def _abandon(self, number: int, key: str) -> None:
-        # An intent that is being run must stay, or a retry would run it again.
+    def _abandon_intent(self, stream_number: int, key: str) -> None:
+        # Without the intent of a running call, a retry would send the call again.
         if key not in self._runs:
-            self._streams.submit_ledger(number, Abandon(key=key))
+            self._streams.submit_ledger(stream_number, Abandon(key=key))
+
+    async def _wait_for_earlier_run(
+        self, stream_number: int, intent: Intent
+    ) -> CallResult | None:
+        """Return the result of an earlier call with the key, None without one.
 
-    async def _follow(self, number: int, intent: Intent) -> Result | None:
-        """Return what an earlier run with the key yields, None without one."""
+        A call that still runs after the wait gives a refusal.
+        """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + min(OUTCOME_WAIT_S, self._admission_wait_s * 2)
         while True:
-            present = self._blackboard.ledgers[number].intents.get(intent.key)
-            is_live = present is not None and self._is_live(present.owner)
-            standing = judge_intent(present, intent, is_owner_live=is_live)
-            if standing is Standing.FREE:
+            recorded = self._blackboard.ledgers[stream_number].intents.get(intent.key)
+            is_owner_live = recorded is not None and self._is_incarnation_live(
+                recorded.owner
+            )
+            status = get_intent_status(recorded, intent, is_owner_live=is_owner_live)
+            if status is IntentStatus.FREE:
                 return None
             run = self._runs.get(intent.key)
-            if standing is Standing.RUNNING and run is not None and run.done():
+            if status is IntentStatus.RUNNING and run is not None and run.done():
                 return run.result()
-            if standing is not Standing.RUNNING or loop.time() >= deadline:
-                return answer_standing(standing, present)
-            await asyncio.sleep(OUTCOME_POLL_S)
+            if status is not IntentStatus.RUNNING or loop.time() >= deadline:
+                return answer_repeated_call(status, recorded)
+            await asyncio.sleep(OUTCOME_POLL_INTERVAL_S)
 
-    def _is_live(self, incarnation: str) -> bool:
+    def _is_incarnation_live(self, incarnation: str) -> bool:
         if incarnation == self._blackboard.incarnation:
             return True
         return any(
@@ -224,52 +253,58 @@
             for entry in self._blackboard.config.hosts.values()
         )
 
-    async def _send_once(self, job: Job) -> Result:
-        answer: Result = Refusal(
+    async def _send_at_most_once(self, context: CallContext) -> CallResult:
+        result: CallResult = Refusal(
             reason=Reason.NO_TARGET, retry_after_s=RETRY_AFTER_SERVICE_S
         )
-        for url in job.list_urls():
-            answer = await self._send(job, url, once=True)
-            # Only a server that got no byte of the call may be followed by another.
-            if isinstance(answer, ServiceAnswer) or answer.effect is Effect.UNKNOWN:
-                return answer
-        return answer
+        for url in context.list_urls():
+            result = await self._send(context, url, at_most_once=True)
+            # Try another server only if this one received no byte of the call.
+            if isinstance(result, ServiceResponse) or result.effect is Effect.UNKNOWN:
+                return result
+        return result
 
-    async def _send(self, job: Job, url: str, *, once: bool) -> Result:
-        timeout_s = job.service.timeout_s
+    async def _send(
+        self, context: CallContext, url: str, *, at_most_once: bool
+    ) -> CallResult:
+        timeout_s = context.service.timeout_s
         return await self._client.send(
-            job.caller, job.call, url, once=once, timeout_s=timeout_s
+            context.caller,
+            context.call,
+            url,
+            at_most_once=at_most_once,
+            timeout_s=timeout_s,
         )
 
-    def _record(self, number: int, key: str, answer: Result) -> None:
-        if isinstance(answer, Refusal) and answer.effect is Effect.NOT_RUN:
+    def _record_outcome(self, stream_number: int, key: str, result: CallResult) -> None:
+        if isinstance(result, Refusal) and result.effect is Effect.NOT_RUN:
             del self._runs[key]
-            self._abandon(number, key)
+            self._abandon_intent(stream_number, key)
             return
-        ticket = self._streams.submit_ledger(number, make_outcome(key, answer))
+        ticket = self._streams.submit_ledger(stream_number, make_outcome(key, result))
         ticket.future.add_done_callback(lambda _: self._runs.pop(key, None))
 
-    async def _reserve(self, job: Job) -> Reservation | Refusal | None:
-        if not job.operation.cost_tokens:
+    async def _reserve(self, context: CallContext) -> Reservation | Refusal | None:
+        if not context.operation.cost_tokens:
             return None
         return await self._budget.reserve(
-            request=job.caller.request,
-            key=job.caller.key,
-            account=f"{BUDGET_ACCOUNT_PREFIX}{job.caller.budget}",
-            tokens=job.operation.cost_tokens,
-            workspace=job.caller.workspace,
+            request=context.caller.request,
+            key=context.caller.key,
+            account=f"{BUDGET_ACCOUNT_PREFIX}{context.caller.budget}",
+            tokens=context.operation.cost_tokens,
+            workspace=context.caller.workspace,
         )
 
     def _settle(
-        self, job: Job, reservation: Reservation | None, answer: Result
+        self, context: CallContext, reservation: Reservation | None, result: CallResult
     ) -> None:
         if reservation is None:
             return
-        spent = count_cost(answer, job.operation.cost_tokens)
-        self._budget.settle(reservation, spent)
+        spent_tokens = compute_cost_tokens(result, context.operation.cost_tokens)
+        self._budget.settle(reservation, spent_tokens)
         log_event(
             Event.CALL_BILLED,
-            request=job.caller.request,
-            workspace=job.caller.workspace,
-            tokens=spent,
+            request=context.caller.request,
+            workspace=context.caller.workspace,
+            tokens=spent_tokens,
         )
--- a/trefoilstage/components/booking/intents.py
+++ b/trefoilstage/components/booking/intents.py
@@ -1,21 +1,25 @@
-"""Decide what the recorded intent of a call means for a retry."""
+"""Decide what a call gets when the log has an intent for its idempotency key.
+
+An intent is the record that reserves a key before the call is sent; an outcome is
+the record of how the call ended. Both are in the state folded from the log.
+"""
 
 from enum import StrEnum
 
 from trefoilstage.components.booking.client import RETRY_AFTER_SERVICE_S
-from trefoilstage.components.booking.models import ServiceAnswer
+from trefoilstage.components.booking.models import ServiceResponse
 from trefoilstage.helpers.verdict import Effect, Reason, Refusal
 from trefoilstage.ledger.records import Intent, Outcome
 from trefoilstage.ledger.state import IntentState
 
 MAX_OUTCOME_BYTES = 16_384
 STATUS_UNKNOWN = 0
-FIRST_REFUSAL_STATUS = 400
-FIRST_FAILURE_STATUS = 500
+FIRST_CLIENT_ERROR_STATUS = 400
+FIRST_SERVER_ERROR_STATUS = 500
 
 
-class Standing(StrEnum):
-    """Name how a key stands on the log."""
+class IntentStatus(StrEnum):
+    """List the states of an idempotency key on the log."""
 
     FREE = "free"
     REUSED = "reused"
@@ -24,82 +28,85 @@
     ENDED = "ended"
 
 
-def judge_intent(
-    present: IntentState | None, intent: Intent, *, is_owner_live: bool
-) -> Standing:
-    """Return how a key stands for a call that wants it."""
-    if present is None:
-        return Standing.FREE
-    if present.body_digest != intent.body_digest:
-        return Standing.REUSED
-    if present.status is not None:
-        return Standing.ENDED
-    return Standing.RUNNING if is_owner_live else Standing.ORPHANED
-
-
-def answer_standing(
-    standing: Standing, present: IntentState | None
-) -> ServiceAnswer | Refusal:
-    """Return what the caller of a key in use gets; it is never run again."""
-    if standing is Standing.REUSED:
+def get_intent_status(
+    recorded: IntentState | None, intent: Intent, *, is_owner_live: bool
+) -> IntentStatus:
+    """Return the state of a key for a call that is about to use it."""
+    if recorded is None:
+        return IntentStatus.FREE
+    if recorded.body_digest != intent.body_digest:
+        return IntentStatus.REUSED
+    if recorded.status is not None:
+        return IntentStatus.ENDED
+    return IntentStatus.RUNNING if is_owner_live else IntentStatus.ORPHANED
+
+
+def answer_repeated_call(
+    status: IntentStatus, recorded: IntentState | None
+) -> ServiceResponse | Refusal:
+    """Return what a caller gets for a key in use; the call is not run again."""
+    if status is IntentStatus.REUSED:
         return Refusal(
-            reason=Reason.KEY_REUSED, detail="the key came with another call or body"
+            reason=Reason.KEY_REUSED,
+            detail="the key was used before with a different call or body",
         )
-    if standing is Standing.ENDED and present is not None:
-        return replay_outcome(present)
-    if standing is Standing.RUNNING:
+    if status is IntentStatus.ENDED and recorded is not None:
+        return replay_outcome(recorded)
+    if status is IntentStatus.RUNNING:
         return Refusal(
             reason=Reason.IN_PROGRESS,
             effect=Effect.UNKNOWN,
-            detail="a run with this key is on",
+            detail="a call with this key is still running",
             retry_after_s=RETRY_AFTER_SERVICE_S,
         )
     return Refusal(
         reason=Reason.OUTCOME_UNKNOWN,
         effect=Effect.UNKNOWN,
-        detail="the host that began the run is lost; the call may have run",
+        detail="the host that started the call is lost; the call may have run",
         retry_after_s=RETRY_AFTER_SERVICE_S,
     )
 
 
-def replay_outcome(present: IntentState) -> ServiceAnswer | Refusal:
-    """Return the recorded outcome of a run."""
-    if not present.known or present.status is None:
+def replay_outcome(recorded: IntentState) -> ServiceResponse | Refusal:
+    """Return the response or refusal that an earlier call's outcome stands for."""
+    if not recorded.known or recorded.status is None:
         return Refusal(
             reason=Reason.OUTCOME_UNKNOWN,
             effect=Effect.UNKNOWN,
-            detail="the service gave no whole answer; the call may have run",
+            detail="the service sent no complete response; the call may have run",
         )
-    if not present.whole:
+    if not recorded.whole:
         return Refusal(
             reason=Reason.ANSWER_NOT_KEPT,
             effect=Effect.UNKNOWN,
-            detail=f"the call ran and was answered with status {present.status}; "
-            "its answer was too large to keep",
+            detail="the call ran and the service responded with status "
+            f"{recorded.status}; the response was too large to store",
         )
-    return ServiceAnswer(
-        status=present.status, body=present.body, content_type=present.content_type
+    return ServiceResponse(
+        status=recorded.status, body=recorded.body, content_type=recorded.content_type
     )
 
 
-def make_outcome(key: str, answer: ServiceAnswer | Refusal) -> Outcome:
-    """Return the record of how a dispatched run ended."""
-    if isinstance(answer, Refusal):
+def make_outcome(key: str, result: ServiceResponse | Refusal) -> Outcome:
+    """Return the outcome record of a call that was sent."""
+    if isinstance(result, Refusal):
         return Outcome(key=key, status=STATUS_UNKNOWN, known=False)
-    whole = len(answer.body) <= MAX_OUTCOME_BYTES
+    is_whole = len(result.body) <= MAX_OUTCOME_BYTES
     return Outcome(
         key=key,
-        status=answer.status,
-        # A cut body replayed as an answer would be silently short.
-        body=answer.body if whole else b"",
-        content_type=answer.content_type[:100],
-        whole=whole,
+        status=result.status,
+        # A caller could not see that a replayed body had been truncated.
+        body=result.body if is_whole else b"",
+        content_type=result.content_type[:100],
+        whole=is_whole,
     )
 
 
-def count_cost(answer: ServiceAnswer | Refusal, cost_tokens: int) -> int:
-    """Return what a call costs: nothing when it surely took no effect."""
-    if isinstance(answer, Refusal):
-        return 0 if answer.effect is Effect.NOT_RUN else cost_tokens
-    refused = FIRST_REFUSAL_STATUS <= answer.status < FIRST_FAILURE_STATUS
-    return 0 if refused else cost_tokens
+def compute_cost_tokens(result: ServiceResponse | Refusal, cost_tokens: int) -> int:
+    """Return the tokens a call costs, 0 if it is known to have had no effect."""
+    if isinstance(result, Refusal):
+        return 0 if result.effect is Effect.NOT_RUN else cost_tokens
+    is_client_error = (
+        FIRST_CLIENT_ERROR_STATUS <= result.status < FIRST_SERVER_ERROR_STATUS
+    )
+    return 0 if is_client_error else cost_tokens
--- a/trefoilstage/components/booking/models.py
+++ b/trefoilstage/components/booking/models.py
@@ -1,11 +1,11 @@
-"""Hold the calls and answers of plain services."""
+"""Define the calls to plain services and their responses."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServiceCall:
-    """Describe a caller's call of a plain service."""
+    """Describe a caller's call to an operation of a plain service."""
 
     service: str
     operation: str
@@ -14,14 +14,14 @@
     body: bytes
 
     @property
-    def name(self) -> str:
-        """Return the service and its operation as one word."""
+    def qualified_name(self) -> str:
+        """Return the service and its operation as "service/operation"."""
         return f"{self.service}/{self.operation}"
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ServiceAnswer:
-    """Hold a plain service's answer."""
+class ServiceResponse:
+    """Describe a plain service's complete response."""
 
     status: int
     body: bytes
