--- a/tests/components/test_keys.py
+++ b/tests/components/test_keys.py
@@ -1,4 +1,4 @@
-"""Check the decisions on who runs a key."""
+"""Test which host runs an idempotency key, and which answers are kept."""
 
 import unittest
 
@@ -22,38 +22,38 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Let hosts claim keys and replace runs that they take for lost."""
+    """Claim keys from several hosts, and replace runs that they report as lost."""
 
     def __init__(self) -> None:
         super().__init__()
         self.table = ClaimTable(retention_s=100.0, max_claims=10)
         self.now = 0.0
         self.n_requests = 0
-        self.holders: dict[str, ClaimKey] = {}
+        self.owners: dict[str, ClaimKey] = {}
         self.claimed_at: dict[str, float] = {}
 
     def claim(self, message: ClaimKey) -> ClaimReply:
-        """Claim, and check the reply against the one holder of the key."""
-        reply = self.table.answer(message, now=self.now)
-        holder = self.holders.get(message.key)
-        if holder is None:
+        """Claim a key, and check the reply against the key's one owner."""
+        reply = self.table.handle_claim(message, now=self.now)
+        owner = self.owners.get(message.key)
+        if owner is None:
             assert reply.standing == "granted"
-        elif holder.digest != message.digest:
+        elif owner.digest != message.digest:
             assert reply.standing == "conflict"
             return reply
-        elif message.replaces != holder.request:
+        elif message.replaces != owner.request:
             assert reply.standing == "held"
-            assert (reply.runner, reply.request) == (holder.runner, holder.request)
+            assert (reply.runner, reply.request) == (owner.runner, owner.request)
         else:
             assert reply.standing == "granted"
         if reply.standing == "granted":
-            self.holders[message.key] = message
+            self.owners[message.key] = message
             self.claimed_at[message.key] = self.now
         return reply
 
     @rule(key=KEYS, digest=DIGESTS, host=HOSTS, twice=st.booleans())
     def retry(self, key: str, digest: str, host: str, twice: bool) -> None:
-        """Claim a key, and replace its run when two hosts find it lost."""
+        """Claim a key; if it is held, report its run as lost once or twice."""
         self.n_requests += 1
         request = f"request-{self.n_requests}"
         message = ClaimKey(key=key, digest=digest, runner=host, request=request)
@@ -73,16 +73,16 @@
 
     @rule(seconds=st.floats(min_value=0.0, max_value=60.0))
     def wait(self, seconds: float) -> None:
-        """Let time pass; claims past their retention are free again."""
+        """Advance the clock; keys with expired claims are free again."""
         self.now += seconds
         for key, claimed_at in list(self.claimed_at.items()):
             if self.now - claimed_at >= 100.0:
                 del self.claimed_at[key]
-                del self.holders[key]
+                del self.owners[key]
 
     @invariant()
-    def is_bounded(self) -> None:
-        """Hold no more claims than keys."""
+    def has_bounded_size(self) -> None:
+        """Check that the table has no more claims than there are keys."""
         assert len(self.table) <= 2
 
 
@@ -96,14 +96,14 @@
 
 
 class ClaimTableTest(unittest.TestCase):
-    """Drive claims in every order."""
+    """Test claims in generated orders."""
 
     def test_each_key_has_one_runner(self) -> None:
         run_state_machine_as_test(ClaimMachine, settings=CI_SETTINGS)
 
 
 class RunTableTest(unittest.TestCase):
-    """Bound what is kept."""
+    """Test the limits of retained answers."""
 
     def test_kept_answers_are_bounded_by_age_and_size(self) -> None:
         table = RunTable(retention_s=10.0)
@@ -113,7 +113,7 @@
                 digest="",
                 request="",
                 has_key=True,
-                last_wanted=0.0,
+                last_listened_at=0.0,
                 ended_at=float(number),
                 ended=True,
             )
@@ -121,7 +121,7 @@
                 Chunk(data=b"." * 3_000_000, text="", usage=None, finish_reason=None)
             )
             table.add(run)
-        table.forget_old(3.0)
+        table.drop_old_runs(3.0)
         self.assertEqual([run.key for run in table.list_runs()], ["key-1", "key-2"])
-        table.forget_old(11.5)
+        table.drop_old_runs(11.5)
         self.assertEqual([run.key for run in table.list_runs()], ["key-2"])
--- a/trefoilstage/components/callers/chat.py
+++ b/trefoilstage/components/callers/chat.py
@@ -39,7 +39,7 @@
         chat = parse_chat(body)
         if isinstance(chat, Refusal):
             return self._reporter.refuse(chat, visit)
-        run = self._keys.open_run(caller, chat)
+        run = self._keys.get_or_start_run(caller, chat)
         if isinstance(run, Refusal):
             return self._reporter.refuse(run, visit)
         if chat.stream:
@@ -54,7 +54,7 @@
             async with aclosing(run.listen(timeout_s=count_wait(caller))) as chunks:
                 async for _ in chunks:
                     pass
-            refusal = run.answer.refusal
+            refusal = run.result.refusal
         except TimeoutError:
             refusal = LATE
         if refusal is not None:
@@ -75,7 +75,7 @@
                     if response is None:
                         response = await open_stream(request, caller, run)
                     await response.write(b"data: " + chunk.data + b"\n\n")
-            refusal = run.answer.refusal
+            refusal = run.result.refusal
         except TimeoutError:
             refusal = LATE
         if response is None and refusal is not None:
@@ -107,8 +107,8 @@
         self._reporter.note_done(
             visit,
             run=run.request,
-            target=run.answer.target,
-            tokens=run.answer.usage.total if run.answer.usage else 0,
+            target=run.result.target,
+            tokens=run.result.usage.total if run.result.usage else 0,
         )
 
 
@@ -155,7 +155,7 @@
 
 def make_completion(chat: ChatRequest, run: Run) -> dict[str, Any]:
     """Return the JSON body of a whole answer."""
-    usage = run.answer.usage
+    usage = run.result.usage
     return {
         "id": run.request,
         "object": "chat.completion",
--- a/trefoilstage/components/keys/__init__.py
+++ b/trefoilstage/components/keys/__init__.py
@@ -1,1 +1,1 @@
-"""Join calls with one idempotency key to one run, at the home of the key."""
+"""Run each idempotency key once in the fleet; its home decides which host runs it."""
--- a/trefoilstage/components/keys/claims.py
+++ b/trefoilstage/components/keys/claims.py
@@ -1,4 +1,8 @@
-"""Decide which run a key belongs to."""
+"""Decide which host runs an idempotency key.
+
+The home of a key is the first live host, in rendezvous order for the key, that replies.
+Its claim for the key names the run that all requests with the key join.
+"""
 
 from dataclasses import dataclass
 
@@ -7,13 +11,13 @@
 CLAIM_RETENTION_S = 900.0
 MAX_CLAIMS = 20_000
 
-GRANTED = ClaimReply(standing="granted")
-CONFLICT = ClaimReply(standing="conflict")
+GRANTED_REPLY = ClaimReply(standing="granted")
+CONFLICT_REPLY = ClaimReply(standing="conflict")
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Claim:
-    """Hold who runs a key, and since when."""
+    """Describe which host and request run a key, and since when."""
 
     digest: str
     runner: str
@@ -22,7 +26,7 @@
 
 
 class ClaimTable:
-    """Hold the claims of the keys whose home this host is, oldest first."""
+    """Store the claims of the keys whose home this host is, oldest first."""
 
     def __init__(
         self,
@@ -37,34 +41,34 @@
     def __len__(self) -> int:
         return len(self._claims)
 
-    def answer(self, message: ClaimKey, *, now: float) -> ClaimReply:
-        """Grant a key that is free, or whose run its claimant found lost."""
-        self._expire(now)
-        present = self._claims.get(message.key)
-        if present is not None and present.digest != message.digest:
-            return CONFLICT
-        # Two hosts may find the same run lost. Only the first replaces it; for
-        # the second the name no longer fits, and it joins the first one's run.
-        if present is not None and message.request != present.request:
-            if message.replaces != present.request:
+    def handle_claim(self, message: ClaimKey, *, now: float) -> ClaimReply:
+        """Grant a key that is free, or whose current run the sender reports as lost."""
+        self._drop_expired(now)
+        current = self._claims.get(message.key)
+        if current is not None and current.digest != message.digest:
+            return CONFLICT_REPLY
+        # Two hosts may find the same run lost. Only the first one replaces it. The
+        # second names a run that is no longer current, so it joins the new run.
+        if current is not None and message.request != current.request:
+            if message.replaces != current.request:
                 return ClaimReply(
-                    standing="held", runner=present.runner, request=present.request
+                    standing="held", runner=current.runner, request=current.request
                 )
             del self._claims[message.key]
         self._claims[message.key] = Claim(
             digest=message.digest,
             runner=message.runner,
             request=message.request,
-            claimed_at=present.claimed_at
-            if present is not None and present.request == message.request
+            claimed_at=current.claimed_at
+            if current is not None and current.request == message.request
             else now,
         )
-        return GRANTED
+        return GRANTED_REPLY
 
-    def _expire(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         while self._claims:
             key = next(iter(self._claims))
-            is_young = now - self._claims[key].claimed_at < self._retention_s
-            if is_young and len(self._claims) < self._max_claims:
+            is_retained = now - self._claims[key].claimed_at < self._retention_s
+            if is_retained and len(self._claims) < self._max_claims:
                 return
             del self._claims[key]
--- a/trefoilstage/components/keys/follower.py
+++ b/trefoilstage/components/keys/follower.py
@@ -1,4 +1,4 @@
-"""Read a run from the host that has it."""
+"""Copy a run from the host that runs it."""
 
 from enum import Enum, auto
 
@@ -11,52 +11,52 @@
 from trefoilstage.helpers.verdict import Effect, Reason, Refusal
 
 READ_TIMEOUT_S = 1.5
-RUNNER_LOST = Refusal(
+RUNNER_LOST_REFUSAL = Refusal(
     reason=Reason.TARGET_FAILED,
     effect=Effect.UNKNOWN,
-    detail="the host that ran the request was lost before the end of its answer",
+    detail="the host that ran the request was lost before its answer was complete",
     retry_after_s=0.0,
 )
 
 
-class Followed(Enum):
-    """Tell how following a run went."""
+class FollowResult(Enum):
+    """List the results of following a run."""
 
     ENDED = auto()
     LOST = auto()
 
 
 class RunFollower:
-    """Copy another host's run, page by page."""
+    """Copy a peer host's run, page by page."""
 
     def __init__(self, *, blackboard: Blackboard, links: PeerLinks) -> None:
         self._blackboard = blackboard
         self._links = links
 
-    async def follow(self, run: Run, holder: ClaimReply) -> Followed:
-        """Read until the end; lost only while nothing was read."""
+    async def follow(self, run: Run, claim: ClaimReply) -> FollowResult:
+        """Read until the run ends; return LOST only if no chunk was received."""
         while True:
-            page = await self._read_page(run, holder)
-            if page is not None and page.found and not add_page(run, page, holder):
+            page = await self._read_page(run, claim)
+            if page is not None and page.found and not append_page(run, page, claim):
                 page = None
             if page is None or not page.found:
                 if not run.chunks:
-                    return Followed.LOST
-                # Chunks have gone out to the caller. Another run would yield
-                # another text, so the rest can't come from there.
-                run.end(RUNNER_LOST)
-                return Followed.ENDED
+                    return FollowResult.LOST
+                # The caller has already received chunks. A new run would generate
+                # a different text, so it can't supply the rest.
+                run.end(RUNNER_LOST_REFUSAL)
+                return FollowResult.ENDED
             if page.ended:
-                run.end(read_refusal(page))
-                return Followed.ENDED
+                run.end(make_refusal(page))
+                return FollowResult.ENDED
 
-    async def _read_page(self, run: Run, holder: ClaimReply) -> RunPage | None:
+    async def _read_page(self, run: Run, claim: ClaimReply) -> RunPage | None:
         for entry in self._blackboard.config.hosts.values():
-            if entry.incarnation == holder.runner:
+            if entry.incarnation == claim.runner:
                 break
         else:
             return None
-        message = ReadRun(key=run.key, request=holder.request, position=len(run.chunks))
+        message = ReadRun(key=run.key, request=claim.request, position=len(run.chunks))
         try:
             reply = await self._links.get_link(entry.peer_url).call(
                 message, timeout_s=READ_TIMEOUT_S
@@ -66,23 +66,23 @@
         return reply if isinstance(reply, RunPage) else None
 
 
-def add_page(run: Run, page: RunPage, holder: ClaimReply) -> bool:
-    """Append a page's chunks; tell whether all were of this run and in order."""
+def append_page(run: Run, page: RunPage, claim: ClaimReply) -> bool:
+    """Append a page's chunks; return whether all were of this run and in order."""
     for data in page.chunks:
         try:
-            chunk, sequence = parse_chunk(data, holder.request)
+            chunk, sequence = parse_chunk(data, claim.request)
         except TargetBrokenError:
             return False
         if sequence != len(run.chunks):
             return False
-        delivery = run.answer.delivery
+        delivery = run.result.delivery
         delivery.usage = chunk.usage or delivery.usage
         run.add(chunk)
     return True
 
 
-def read_refusal(page: RunPage) -> Refusal | None:
-    """Return the refusal in a page's end."""
+def make_refusal(page: RunPage) -> Refusal | None:
+    """Return the refusal that ended the run, None if the page has none."""
     if not page.reason:
         return None
     return Refusal(
--- a/trefoilstage/components/keys/messages.py
+++ b/trefoilstage/components/keys/messages.py
@@ -1,4 +1,4 @@
-"""Define the messages by which hosts share the run of a key."""
+"""Define the messages with which hosts claim keys and read each other's runs."""
 
 from dataclasses import dataclass
 from typing import Annotated, Literal
@@ -13,7 +13,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ClaimKey:
-    """Ask a key's home for the right to run; name a lost run to replace it."""
+    """Ask a key's home for permission to run it.
+
+    `replaces` is the request of a lost run that this one replaces.
+    """
 
     key: Name
     digest: Name
@@ -25,7 +28,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ClaimReply:
-    """Answer a claim; a held key comes with who runs it."""
+    """Answer a claim; `runner` and `request` name the run of a held key."""
 
     standing: Standing
     runner: Name = ""
@@ -35,7 +38,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ReadRun:
-    """Ask a run's host for the chunks from a position on."""
+    """Ask the host of a run for its chunks, starting at a position."""
 
     key: Name
     request: Name
@@ -45,7 +48,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RunPage:
-    """Answer with chunks, and with the refusal when the run failed."""
+    """Answer with chunks, and with the refusal if the run failed."""
 
     found: bool
     chunks: tuple[bytes, ...] = ()
--- a/trefoilstage/components/keys/runs.py
+++ b/trefoilstage/components/keys/runs.py
@@ -1,4 +1,4 @@
-"""Hold answers as they grow, for every caller that asks for them."""
+"""Store answers while they are generated, for all callers that request them."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -8,23 +8,23 @@
 from trefoilstage.components.targets.models import Chunk
 from trefoilstage.helpers.verdict import Refusal
 
-GRACE_S = 2.0
-MAX_KEPT_BYTES = 8_000_000
+LISTENER_GRACE_S = 2.0
+MAX_RETAINED_BYTES = 8_000_000
 CHUNK_OVERHEAD_BYTES = 200
 
 
 @dataclass(kw_only=True, slots=True, eq=False)
 class Run:
-    """Hold one request's answer, apart from any caller's connection."""
+    """Represent the run of one request, independent of any caller's connection."""
 
     key: str
     digest: str
     request: str
     has_key: bool
-    last_wanted: float
+    last_listened_at: float
     ended_at: float = 0.0
     chunks: list[Chunk] = field(default_factory=list)
-    answer: Answer = field(default_factory=Answer)
+    result: Answer = field(default_factory=Answer)
     ended: bool = False
     is_local: bool = True
     n_bytes: int = 0
@@ -33,27 +33,27 @@
     _changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def add(self, chunk: Chunk) -> None:
-        """Append a chunk and wake the listeners."""
+        """Append a chunk and notify the listeners."""
         self.chunks.append(chunk)
         self.n_bytes += len(chunk.data) + CHUNK_OVERHEAD_BYTES
         self._notify()
 
     def end(self, refusal: Refusal | None) -> None:
-        """Close the answer and wake the listeners."""
-        self.answer.refusal = refusal
+        """End the run, with a refusal if it failed, and notify the listeners."""
+        self.result.refusal = refusal
         self.ended = True
         self._notify()
 
     async def listen(self, *, timeout_s: float) -> AsyncGenerator[Chunk, None]:
-        """Yield the chunks from the first on; raise TimeoutError when too late."""
+        """Yield all chunks; raise TimeoutError if the run outlasts timeout_s."""
         position = 0
         deadline = asyncio.get_running_loop().time() + timeout_s
         self.n_listeners += 1
         try:
             while not self.ended or position < len(self.chunks):
                 if position == len(self.chunks):
-                    # Only this wait is timed: a time limit around the yield
-                    # would cancel whatever the listener awaits meanwhile.
+                    # The timeout covers only this wait. Around the yield it would
+                    # also cancel whatever the listener awaits in the meantime.
                     async with asyncio.timeout_at(deadline):
                         await self.wait_for_change()
                     continue
@@ -61,19 +61,19 @@
                 position += 1
         finally:
             self.n_listeners -= 1
-            self._cancel_unwanted()
+            self._cancel_if_abandoned()
 
     async def wait_for_change(self) -> None:
-        """Wait for a chunk or the end."""
+        """Wait for the next chunk or the end of the run."""
         await self._changed.wait()
 
     def cancel(self) -> None:
-        """Stop the run; its task tells the target and settles."""
+        """Cancel the run; its task cancels the request at the target and settles it."""
         if self.task is not None:
             self.task.cancel()
 
-    def _cancel_unwanted(self) -> None:
-        # Without a key no retry can find this run, so nobody is left to wait for.
+    def _cancel_if_abandoned(self) -> None:
+        # Without a key no retry can join this run, so its answer has no use.
         if not self.has_key and not self.n_listeners and not self.ended:
             self.cancel()
 
@@ -83,8 +83,8 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class RunView:
-    """Show a run without any of its text."""
+class RunState:
+    """Describe a run without its text for the state dump."""
 
     key: str
     request: str
@@ -96,12 +96,12 @@
     n_listeners: int
 
 
-def describe_run(run: Run) -> RunView:
-    """Return what a dump may show of a run."""
-    return RunView(
+def describe_run(run: Run) -> RunState:
+    """Return a run's entry for the state dump."""
+    return RunState(
         key=run.key,
         request=run.request,
-        target=run.answer.target,
+        target=run.result.target,
         is_local=run.is_local,
         ended=run.ended,
         n_chunks=len(run.chunks),
@@ -111,22 +111,22 @@
 
 
 class RunTable:
-    """Hold this host's runs by key, and whole answers for a while."""
+    """Store this host's runs by key; ended runs stay for retention_s."""
 
     def __init__(self, *, retention_s: float) -> None:
         self._retention_s = retention_s
         self._runs: dict[str, Run] = {}
 
     def get(self, key: str) -> Run | None:
-        """Return the run of a key."""
+        """Return the run of a key, None without one."""
         return self._runs.get(key)
 
     def add(self, run: Run) -> None:
-        """Hold a run."""
+        """Store a run under its key."""
         self._runs[run.key] = run
 
     def discard(self, run: Run) -> None:
-        """Forget a run, unless its key has gone to another."""
+        """Remove a run, unless a newer one has its key."""
         if self._runs.get(run.key) is run:
             del self._runs[run.key]
 
@@ -134,27 +134,27 @@
         """Return the runs, oldest first."""
         return list(self._runs.values())
 
-    def list_unwanted(self, now: float) -> list[Run]:
-        """Return the unfinished runs that nobody has listened to for long enough."""
+    def list_abandoned(self, now: float) -> list[Run]:
+        """Return the running runs without a listener for LISTENER_GRACE_S."""
         return [
             run
             for run in self._runs.values()
-            if not run.ended and not note_wanted(run, now)
+            if not run.ended and not refresh_last_listened(run, now)
         ]
 
-    def forget_old(self, now: float) -> None:
-        """Forget answers past their retention, and the oldest above the bound."""
-        kept = [run for run in self._runs.values() if run.ended]
-        n_bytes = sum(run.n_bytes for run in kept)
-        for run in kept:
-            is_old = now - run.ended_at >= self._retention_s
-            if is_old or n_bytes > MAX_KEPT_BYTES:
+    def drop_old_runs(self, now: float) -> None:
+        """Remove ended runs past retention, and the oldest above MAX_RETAINED_BYTES."""
+        ended_runs = [run for run in self._runs.values() if run.ended]
+        n_bytes = sum(run.n_bytes for run in ended_runs)
+        for run in ended_runs:
+            is_expired = now - run.ended_at >= self._retention_s
+            if is_expired or n_bytes > MAX_RETAINED_BYTES:
                 n_bytes -= run.n_bytes
                 self.discard(run)
 
 
-def note_wanted(run: Run, now: float) -> bool:
-    """Note that a run has listeners; tell whether it had any of late."""
+def refresh_last_listened(run: Run, now: float) -> bool:
+    """Update when a run last had listeners; return whether it had any recently."""
     if run.n_listeners:
-        run.last_wanted = now
-    return now - run.last_wanted < GRACE_S
+        run.last_listened_at = now
+    return now - run.last_listened_at < LISTENER_GRACE_S
