--- a/trefoilstage/components/callers/__init__.py
+++ b/trefoilstage/components/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Decide who may call and what a chat call may spend, and answer its callers."""
+"""Authenticate callers, run their chat requests within budget, and respond to them."""
--- a/trefoilstage/components/callers/authentication.py
+++ b/trefoilstage/components/callers/authentication.py
@@ -1,4 +1,4 @@
-"""Tell which workspace a caller's key names."""
+"""Identify callers by their bearer keys and read their request headers."""
 
 import uuid
 
@@ -16,7 +16,7 @@
 
 BEARER_PREFIX = "Bearer "
 MAX_KEY_LENGTH = 200
-MAX_DIGITS = 9
+MAX_INTEGER_DIGITS = 9
 DEFAULT_DEADLINE_S = 60.0
 MIN_DEADLINE_S = 0.01
 MAX_DEADLINE_S = 600.0
@@ -24,25 +24,25 @@
 
 
 class CallerIdentifier:
-    """Find callers' workspaces, with an index of the configuration in force."""
+    """Identify callers, with an index of the keys in the current configuration."""
 
     def __init__(self) -> None:
-        self._indexed: Configuration | None = None
-        self._names: dict[str, str] = {}
+        self._indexed_configuration: Configuration | None = None
+        self._workspaces_by_digest: dict[str, str] = {}
 
     def identify(
         self, request: web.Request, configuration: Configuration
     ) -> Caller | Refusal:
-        """Return who calls, or why the headers do not tell."""
+        """Return the caller, or a refusal if a header is missing or invalid."""
         name = self._find_workspace(request, configuration)
         if isinstance(name, Refusal):
             return name
         workspace = configuration.workspaces[name]
         request_id = uuid.uuid4().hex
-        key = read_key(request)
+        key = read_idempotency_key(request)
         if isinstance(key, Refusal):
             return key
-        priority = read_number(request, HEADER_PRIORITY, workspace.priority)
+        priority = read_integer(request, HEADER_PRIORITY, workspace.priority)
         if isinstance(priority, Refusal):
             return priority
         deadline_s = read_deadline(request)
@@ -51,7 +51,7 @@
         return Caller(
             workspace=name,
             budget=workspace.budget,
-            # A request may lower its workspace's priority but never raise it.
+            # A request may lower its workspace's priority but not raise it.
             priority=min(priority, workspace.priority, MAX_PRIORITY),
             request=request_id,
             has_key=bool(key),
@@ -64,54 +64,67 @@
     ) -> str | Refusal:
         header = request.headers.get("Authorization", "")
         if not header.startswith(BEARER_PREFIX) or not header.isascii():
-            return Refusal(reason=Reason.UNAUTHORIZED, detail="bearer key expected")
-        if self._indexed is not configuration:
-            self._index(configuration)
+            return Refusal(
+                reason=Reason.UNAUTHORIZED,
+                detail="the Authorization header has no valid bearer key",
+            )
+        if self._indexed_configuration is not configuration:
+            self._build_index(configuration)
         digest = hash_secret(header.removeprefix(BEARER_PREFIX).strip())
-        name = self._names.get(digest)
+        name = self._workspaces_by_digest.get(digest)
         if name is None:
-            return Refusal(reason=Reason.UNAUTHORIZED, detail="key names no workspace")
+            return Refusal(
+                reason=Reason.UNAUTHORIZED,
+                detail="the bearer key belongs to no workspace",
+            )
         return name
 
-    def _index(self, configuration: Configuration) -> None:
-        self._names = {
+    def _build_index(self, configuration: Configuration) -> None:
+        self._workspaces_by_digest = {
             digest: name
             for name, workspace in configuration.workspaces.items()
             for digest in workspace.key_sha256
         }
-        self._indexed = configuration
+        self._indexed_configuration = configuration
 
 
-def read_key(request: web.Request) -> str | Refusal:
-    """Return the idempotency key, empty without one, or why it is none."""
+def read_idempotency_key(request: web.Request) -> str | Refusal:
+    """Return the idempotency key, "" without one, or a refusal if it is invalid."""
     keys = request.headers.getall(HEADER_IDEMPOTENCY_KEY, [])
     if not keys:
         return ""
     key = keys[0].strip()
     is_plain = key.isascii() and key.isprintable() and 0 < len(key) <= MAX_KEY_LENGTH
     if len(keys) > 1 or not is_plain:
-        detail = f"{HEADER_IDEMPOTENCY_KEY}: 1 to {MAX_KEY_LENGTH} ASCII letters once"
+        detail = (
+            f"{HEADER_IDEMPOTENCY_KEY} must be one value of 1 to {MAX_KEY_LENGTH} "
+            "printable ASCII characters"
+        )
         return Refusal(reason=Reason.BAD_REQUEST, detail=detail)
     return key
 
 
 def read_deadline(request: web.Request) -> float | Refusal:
-    """Return the time that a caller gives, in seconds, or why it gives none."""
+    """Return the time until the caller's deadline in seconds, or a refusal."""
     default_ms = int(DEFAULT_DEADLINE_S * MS_PER_S)
-    deadline_ms = read_number(request, HEADER_DEADLINE_MS, default_ms)
+    deadline_ms = read_integer(request, HEADER_DEADLINE_MS, default_ms)
     if isinstance(deadline_ms, Refusal):
         return deadline_ms
     deadline_s = min(deadline_ms / MS_PER_S, MAX_DEADLINE_S)
     if deadline_s < MIN_DEADLINE_S:
-        return Refusal(reason=Reason.DEADLINE, detail="no answer can come that soon")
+        return Refusal(
+            reason=Reason.DEADLINE, detail="the deadline is too short for any answer"
+        )
     return deadline_s
 
 
-def read_number(request: web.Request, header: str, default: int) -> int | Refusal:
-    """Return a header's number, its default, or why it is none."""
+def read_integer(request: web.Request, header: str, default: int) -> int | Refusal:
+    """Return a header's integer, the default without it, or a refusal."""
     text = request.headers.get(header)
     if text is None:
         return default
-    if not text.isascii() or not text.isdigit() or len(text) > MAX_DIGITS:
-        return Refusal(reason=Reason.BAD_REQUEST, detail=f"{header} is no number")
+    if not text.isascii() or not text.isdigit() or len(text) > MAX_INTEGER_DIGITS:
+        return Refusal(
+            reason=Reason.BAD_REQUEST, detail=f"{header} is not a valid integer"
+        )
     return int(text)
--- a/trefoilstage/components/callers/gate.py
+++ b/trefoilstage/components/callers/gate.py
@@ -1,50 +1,50 @@
-"""Count open requests and tell callers of a leaving host to go elsewhere."""
+"""Count open requests, and close connections while the host is draining."""
 
 from aiohttp import web
 from aiohttp.typedefs import Handler
 
 from trefoilstage.blackboard import Blackboard
-from trefoilstage.components.callers.refusals import make_refusal
+from trefoilstage.components.callers.refusals import make_refusal_response
 from trefoilstage.exceptions import StreamNotFollowedError
 from trefoilstage.helpers.verdict import Reason, Refusal
 from trefoilstage.phase import Phase
 
-NOT_READY_RETRY_S = 1.0
+NOT_READY_RETRY_AFTER_S = 1.0
 HEALTH_PATH = "/health"
 
 
 class RequestGate:
-    """Stand before every handler of the callers' server."""
+    """Count and check requests before the callers' server handles them."""
 
     def __init__(self, *, blackboard: Blackboard) -> None:
         self._blackboard = blackboard
-        self.n_open = 0
+        self.n_open_requests = 0
 
     @web.middleware
     async def handle(
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
-        """Run a handler and close the connection while the host is leaving."""
+        """Run a handler; close the connection if the host is draining."""
         if request.path == HEALTH_PATH:
             return await handler(request)
-        self.n_open += 1
+        self.n_open_requests += 1
         try:
-            response = await self._answer(request, handler)
+            response = await self._run_handler(request, handler)
         finally:
-            self.n_open -= 1
-        # A caller that kept its connection would send its next request to a
-        # host that is about to end, and see it cut instead of refused.
+            self.n_open_requests -= 1
+        # A caller that kept its connection would send its next request to a host
+        # that is about to stop, and lose the connection instead of being refused.
         if self._blackboard.phase is Phase.DRAINING:
             response.force_close()
         return response
 
-    async def _answer(
+    async def _run_handler(
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
-        # The configuration is in force a moment before its ledgers are followed,
-        # and without them no account can be looked up.
+        # The configuration takes effect shortly before the host follows its
+        # ledgers, and no account can be looked up without them.
         if not self._blackboard.has_ledgers():
-            return refuse_not_ready("the ledgers are not followed yet")
+            return refuse_not_ready("the host is not following the ledgers yet")
         try:
             return await handler(request)
         except StreamNotFollowedError as error:
@@ -52,8 +52,8 @@
 
 
 def refuse_not_ready(detail: str) -> web.Response:
-    """Return the refusal of a request that came too early."""
+    """Return the refusal of a request that arrived before the host was ready."""
     refusal = Refusal(
-        reason=Reason.NOT_READY, detail=detail, retry_after_s=NOT_READY_RETRY_S
+        reason=Reason.NOT_READY, detail=detail, retry_after_s=NOT_READY_RETRY_AFTER_S
     )
-    return make_refusal(refusal, "")
+    return make_refusal_response(refusal, "")
--- a/trefoilstage/components/callers/generation.py
+++ b/trefoilstage/components/callers/generation.py
@@ -1,4 +1,4 @@
-"""Run one generation: hold tokens, choose a target, stream, settle."""
+"""Run generations: reserve tokens, dispatch to a target, and settle the spend."""
 
 import asyncio
 import json
@@ -16,8 +16,8 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class Answer:
-    """Hold what a generation has yielded so far."""
+class GenerationResult:
+    """Describe what a generation has produced so far."""
 
     chunks: list[Chunk] = field(default_factory=list)
     delivery: Delivery = field(default_factory=Delivery)
@@ -25,7 +25,7 @@
 
     @property
     def usage(self) -> Usage | None:
-        """Return what the target says it spent."""
+        """Return the token usage that the target reported, if any."""
         return self.delivery.usage
 
     @usage.setter
@@ -34,7 +34,7 @@
 
     @property
     def target(self) -> str:
-        """Return the target that took the request, if any."""
+        """Return the target that accepted the request, "" without one."""
         return self.delivery.target
 
     @property
@@ -49,7 +49,7 @@
 
 
 class GenerationRunner:
-    """Run generations within budget."""
+    """Run generations within their budgets."""
 
     def __init__(
         self,
@@ -63,38 +63,40 @@
         self._dispatcher = dispatcher
 
     async def run(
-        self, caller: Caller, chat: ChatRequest, answer: Answer
+        self, caller: Caller, chat: ChatRequest, result: GenerationResult
     ) -> AsyncIterator[Chunk]:
-        """Yield an answer's chunks; a failure is left in answer.refusal."""
+        """Yield an answer's chunks; a failure is stored in result.refusal."""
         configuration = self._blackboard.configuration
         model = configuration.models.get(chat.model)
         if model is None:
-            answer.refusal = Refusal(reason=Reason.UNKNOWN_MODEL)
+            result.refusal = Refusal(reason=Reason.UNKNOWN_MODEL)
             return
-        n_output = chat.count_output(model.max_output_tokens)
-        n_prompt = chat.count_prompt_bound(model.prompt_bytes_per_token)
-        reservation = await self._reserve(caller, chat.model, n_output + n_prompt)
+        max_output_tokens = chat.compute_max_output_tokens(model.max_output_tokens)
+        max_prompt_tokens = chat.compute_max_prompt_tokens(model.prompt_bytes_per_token)
+        reservation = await self._reserve(
+            caller, chat.model, max_output_tokens + max_prompt_tokens
+        )
         if isinstance(reservation, Refusal):
-            answer.refusal = reservation
+            result.refusal = reservation
             return
         try:
-            async for chunk in self._deliver(
-                caller, chat, n_output, answer, reservation
+            async for chunk in self._dispatch(
+                caller, chat, max_output_tokens, result, reservation
             ):
                 yield chunk
         except BaseException:
-            # Nobody waits any more, or a part failed.
-            answer.refusal = answer.refusal or Refusal(
+            # The run was cancelled, or a component raised an error.
+            result.refusal = result.refusal or Refusal(
                 reason=Reason.CANCELLED, effect=Effect.UNKNOWN
             )
             raise
         finally:
-            self._settle(caller, answer, reservation)
+            self._settle(caller, result, reservation)
 
     async def _reserve(
         self, caller: Caller, model: str, tokens: int
     ) -> Reservation | Refusal:
-        reserving = asyncio.create_task(
+        reservation_task = asyncio.create_task(
             self._budget.reserve(
                 request=caller.request,
                 key=caller.key,
@@ -105,67 +107,74 @@
             )
         )
         try:
-            return await asyncio.shield(reserving)
+            return await asyncio.shield(reservation_task)
         except asyncio.CancelledError:
-            # Cancelled half-way, the hold would stay on its draw for ever.
-            reserving.add_done_callback(self._release)
+            # A hold whose reservation was cancelled would stay on its draw permanently.
+            reservation_task.add_done_callback(self._release_unused_reservation)
             raise
 
-    def _release(self, reserving: asyncio.Task[Reservation | Refusal]) -> None:
-        if reserving.cancelled() or reserving.exception() is not None:
+    def _release_unused_reservation(
+        self, reservation_task: asyncio.Task[Reservation | Refusal]
+    ) -> None:
+        if reservation_task.cancelled() or reservation_task.exception() is not None:
             return
-        reservation = reserving.result()
+        reservation = reservation_task.result()
         if isinstance(reservation, Reservation):
             self._budget.settle(reservation, 0)
 
-    async def _deliver(
+    async def _dispatch(
         self,
         caller: Caller,
         chat: ChatRequest,
-        n_output: int,
-        answer: Answer,
+        max_output_tokens: int,
+        result: GenerationResult,
         reservation: Reservation,
     ) -> AsyncIterator[Chunk]:
-        job = make_job(caller, chat, n_output, reservation)
+        job = make_job(caller, chat, max_output_tokens, reservation)
         try:
-            async for chunk in self._dispatcher.run(job, answer.delivery):
-                answer.chunks.append(chunk)
+            async for chunk in self._dispatcher.run(job, result.delivery):
+                result.chunks.append(chunk)
                 yield chunk
         finally:
-            answer.refusal = answer.delivery.refusal
+            result.refusal = result.delivery.refusal
 
     def _list_fencing_urls(self, model: str) -> list[str]:
         candidates = list_candidates(self._blackboard.configuration.targets, model)
-        # Without the word of every target that may run it, what a request
-        # spent stays in doubt after this host's death.
+        # After this host is lost, a request's spend stays in doubt unless every
+        # target that may have run it gives a final report of what it spent.
         if not all(candidate.config.fences_cancelled for candidate in candidates):
             return []
         return [candidate.config.url for candidate in candidates]
 
-    def _settle(self, caller: Caller, answer: Answer, reservation: Reservation) -> None:
-        if answer.refusal is None and answer.usage is not None:
-            self._budget.settle(reservation, answer.usage.total)
+    def _settle(
+        self, caller: Caller, result: GenerationResult, reservation: Reservation
+    ) -> None:
+        if result.refusal is None and result.usage is not None:
+            self._budget.settle(reservation, result.usage.total)
             return
-        # The target is told to stop, and only what it says it spent is billed;
-        # without its word the whole hold is. The caller is not kept waiting.
-        task = asyncio.create_task(self._settle_broken(caller, answer, reservation))
+        # The target is asked to cancel the request, and only the spend that it
+        # reports is billed; without a report the whole hold is. A separate task
+        # does this, so that the caller does not wait.
+        task = asyncio.create_task(self._cancel_and_settle(caller, result, reservation))
         self._blackboard.closing.add(task)
         task.add_done_callback(self._blackboard.closing.discard)
 
-    async def _settle_broken(
-        self, caller: Caller, answer: Answer, reservation: Reservation
+    async def _cancel_and_settle(
+        self, caller: Caller, result: GenerationResult, reservation: Reservation
     ) -> None:
-        spent = await self._dispatcher.cancel(caller.request, answer.delivery)
-        self._budget.settle(reservation, reservation.tokens if spent is None else spent)
+        spent_tokens = await self._dispatcher.cancel(caller.request, result.delivery)
+        self._budget.settle(
+            reservation, reservation.tokens if spent_tokens is None else spent_tokens
+        )
 
 
 def make_job(
-    caller: Caller, chat: ChatRequest, n_output: int, reservation: Reservation
+    caller: Caller, chat: ChatRequest, max_output_tokens: int, reservation: Reservation
 ) -> Job:
-    """Return the request to a target; always streamed, so that no end is silent."""
+    """Return the request to a target, streamed so that a truncated answer shows."""
     body = chat.model_dump(exclude_none=True)
     body["stream"] = True
-    body["max_tokens"] = n_output
+    body["max_tokens"] = max_output_tokens
     body.pop("max_completion_tokens", None)
     contents = tuple(message.content for message in chat.messages)
     return Job(
@@ -175,7 +184,7 @@
         body=json.dumps(body).encode(),
         contents=contents,
         n_prompt=sum(map(len, contents)),
-        n_output=n_output,
+        n_output=max_output_tokens,
         priority=caller.priority,
         deadline_s=caller.deadline_s,
         urls=reservation.targets,
--- a/trefoilstage/components/callers/models.py
+++ b/trefoilstage/components/callers/models.py
@@ -1,4 +1,4 @@
-"""Check what callers send."""
+"""Define and validate chat requests, and describe callers."""
 
 from dataclasses import dataclass
 from typing import Annotated, Literal
@@ -9,14 +9,14 @@
 
 
 class ChatMessage(BaseModel):
-    """Check one message of a chat."""
+    """Validate one message of a chat."""
 
     role: Literal["system", "user", "assistant", "tool", "developer"]
     content: str
 
 
 class ChatRequest(BaseModel):
-    """Check the body of a chat request."""
+    """Validate the body of a chat request."""
 
     model_config = ConfigDict(extra="ignore", strict=True)
 
@@ -33,26 +33,30 @@
     stop: str | list[str] | None = None
     n: Literal[1] | None = None
 
-    def make_canonical(self) -> bytes:
-        """Return what makes two requests the same; both ways of answering do."""
+    def serialize_canonically(self) -> bytes:
+        """Return the fields that identify equal requests, streamed or not."""
         return self.model_dump_json(exclude={"stream"}).encode()
 
-    def count_output(self, limit: int) -> int:
-        """Return the most tokens the answer may have."""
+    def compute_max_output_tokens(self, limit: int) -> int:
+        """Return the maximum number of tokens of the answer."""
         return min(self.max_completion_tokens or self.max_tokens or limit, limit)
 
-    def count_prompt_bound(self, bytes_per_token: int) -> int:
-        """Return a bound on the prompt's tokens that no tokenizer exceeds."""
-        size = sum(
+    def compute_max_prompt_tokens(self, bytes_per_token: int) -> int:
+        """Return an upper bound on the prompt's tokens for any tokenizer."""
+        n_bytes = sum(
             len(message.content.encode()) + MESSAGE_OVERHEAD_BYTES
             for message in self.messages
         )
-        return -(-size // bytes_per_token)
+        return -(-n_bytes // bytes_per_token)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Caller:
-    """Name who calls: the workspace, its budget and its request."""
+    """Describe the caller of one request.
+
+    `request` is the request's ID; `key` is a digest of the idempotency key, or of the
+    request's ID if the caller sent none.
+    """
 
     workspace: str
     budget: str
--- a/trefoilstage/components/callers/refusals.py
+++ b/trefoilstage/components/callers/refusals.py
@@ -1,4 +1,4 @@
-"""Turn refusals into typed HTTP answers."""
+"""Turn refusals into typed HTTP responses."""
 
 import math
 
@@ -28,7 +28,7 @@
     Reason.INTERNAL: 500,
     Reason.TARGET_FAILED: 502,
 }
-RETRIED_REASONS = frozenset(
+RETRYABLE_REASONS = frozenset(
     {
         Reason.CANCELLED,
         Reason.DEADLINE,
@@ -41,7 +41,7 @@
 )
 
 
-def describe_refusal(refusal: Refusal, request: str) -> dict[str, dict[str, object]]:
+def make_refusal_body(refusal: Refusal, request: str) -> dict[str, dict[str, object]]:
     """Return the JSON body of a refusal."""
     error: dict[str, object] = {
         "reason": refusal.reason.value,
@@ -49,27 +49,27 @@
         "message": refusal.detail or refusal.reason.value.replace("_", " "),
         "request_id": request,
     }
-    retry_after_s = get_retry_after(refusal)
+    retry_after_s = get_retry_after_s(refusal)
     if retry_after_s is not None:
         error["retry_after_s"] = retry_after_s
     return {"error": error}
 
 
-def get_retry_after(refusal: Refusal) -> float | None:
-    """Return when to come back, None when the same request can't succeed."""
-    if refusal.retry_after_s is None and refusal.reason in RETRIED_REASONS:
+def get_retry_after_s(refusal: Refusal) -> float | None:
+    """Return the seconds before a retry, None if the same request can't succeed."""
+    if refusal.retry_after_s is None and refusal.reason in RETRYABLE_REASONS:
         return DEFAULT_RETRY_AFTER_S
     return refusal.retry_after_s
 
 
-def make_refusal(refusal: Refusal, request: str) -> web.Response:
-    """Return the HTTP answer of a refusal."""
+def make_refusal_response(refusal: Refusal, request: str) -> web.Response:
+    """Return the HTTP response of a refusal."""
     headers = {HEADER_REQUEST_ID: request}
-    retry_after_s = get_retry_after(refusal)
+    retry_after_s = get_retry_after_s(refusal)
     if retry_after_s is not None:
         headers[HEADER_RETRY_AFTER] = str(math.ceil(retry_after_s))
     return web.json_response(
-        describe_refusal(refusal, request),
+        make_refusal_body(refusal, request),
         status=STATUS_BY_REASON.get(refusal.reason, DEFAULT_STATUS),
         headers=headers,
     )
--- a/trefoilstage/components/callers/reporter.py
+++ b/trefoilstage/components/callers/reporter.py
@@ -1,4 +1,4 @@
-"""Report how each request ended."""
+"""Log how each request ended."""
 
 import time
 from dataclasses import dataclass, field
@@ -6,54 +6,54 @@
 from aiohttp import web
 
 from trefoilstage.components.callers.models import Caller
-from trefoilstage.components.callers.refusals import make_refusal
+from trefoilstage.components.callers.refusals import make_refusal_response
 from trefoilstage.helpers.events import Event, log_event
 from trefoilstage.helpers.verdict import Refusal
 
 
 @dataclass(kw_only=True, slots=True)
-class Visit:
-    """Hold one request's start, and its caller once that is known."""
+class RequestContext:
+    """Describe a request by its start time, and its caller once identified."""
 
-    started: float = field(default_factory=time.monotonic)
+    started_at: float = field(default_factory=time.monotonic)
     caller: Caller | None = None
 
     @property
     def request(self) -> str:
-        """Return the request's id."""
+        """Return the request's ID, "" before the caller is identified."""
         return self.caller.request if self.caller else ""
 
     @property
     def workspace(self) -> str:
-        """Return the caller's workspace."""
+        """Return the workspace's name, "" before the caller is identified."""
         return self.caller.workspace if self.caller else ""
 
 
 class RequestReporter:
-    """Log how requests end; the metrics count the events."""
+    """Log how requests end; the metrics count these log events."""
 
-    def refuse(self, refusal: Refusal, visit: Visit) -> web.Response:
-        """Report a refusal and return its HTTP answer."""
-        self.note_refused(refusal, visit)
-        return make_refusal(refusal, visit.request)
+    def refuse(self, refusal: Refusal, context: RequestContext) -> web.Response:
+        """Log a refusal and return its HTTP response."""
+        self.report_refused(refusal, context)
+        return make_refusal_response(refusal, context.request)
 
-    def note_refused(self, refusal: Refusal, visit: Visit) -> None:
-        """Report a refusal."""
+    def report_refused(self, refusal: Refusal, context: RequestContext) -> None:
+        """Log a refusal."""
         log_event(
             Event.REQUEST_REFUSED,
-            request=visit.request,
-            workspace=visit.workspace,
+            request=context.request,
+            workspace=context.workspace,
             reason=refusal.reason.value,
             effect=refusal.effect.value,
-            duration_s=time.monotonic() - visit.started,
+            duration_s=time.monotonic() - context.started_at,
         )
 
-    def note_done(self, visit: Visit, **fields: object) -> None:
-        """Report a whole answer."""
+    def report_completed(self, context: RequestContext, **fields: object) -> None:
+        """Log a complete answer."""
         log_event(
             Event.REQUEST_DONE,
-            request=visit.request,
-            workspace=visit.workspace,
-            duration_s=time.monotonic() - visit.started,
+            request=context.request,
+            workspace=context.workspace,
+            duration_s=time.monotonic() - context.started_at,
             **fields,
         )
--- a/trefoilstage/components/callers/server.py
+++ b/trefoilstage/components/callers/server.py
@@ -1,4 +1,4 @@
-"""Serve callers over HTTP."""
+"""Serve callers' requests over HTTP."""
 
 import asyncio
 import time
@@ -11,21 +11,21 @@
 from trefoilstage.components.booking.models import ServiceCall
 from trefoilstage.components.callers.authentication import CallerIdentifier
 from trefoilstage.components.callers.chat import ChatHandler
-from trefoilstage.components.callers.errors import answer_errors
+from trefoilstage.components.callers.errors import handle_errors
 from trefoilstage.components.callers.gate import RequestGate
 from trefoilstage.components.callers.models import Caller
-from trefoilstage.components.callers.reporter import RequestReporter, Visit
+from trefoilstage.components.callers.reporter import RequestContext, RequestReporter
 from trefoilstage.components.keys.controller import KeyController
 from trefoilstage.const import HEADER_REQUEST_ID, MAX_REQUEST_BODY_BYTES
 from trefoilstage.helpers.verdict import Reason, Refusal
 from trefoilstage.phase import Phase
 
-SHUTDOWN_RETRY_S = 1.0
-DRAIN_POLL_S = 0.05
+UNAVAILABLE_RETRY_AFTER_S = 1.0
+DRAIN_POLL_INTERVAL_S = 0.05
 
 
 class CallerServer(Service):
-    """Accept callers' requests and answer each one whole or with a refusal."""
+    """Accept callers' requests; respond with a complete answer or a refusal."""
 
     def __init__(
         self,
@@ -48,17 +48,17 @@
         self._runner: web.AppRunner | None = None
 
     async def on_start(self) -> None:
-        """Listen."""
+        """Start to listen for connections."""
         app = web.Application(
             client_max_size=MAX_REQUEST_BODY_BYTES,
-            middlewares=[self._gate.handle, answer_errors],
+            middlewares=[self._gate.handle, handle_errors],
         )
-        app.router.add_post("/v1/chat/completions", self._answer_chat)
-        app.router.add_get("/v1/models", self._answer_models)
+        app.router.add_post("/v1/chat/completions", self._handle_chat)
+        app.router.add_get("/v1/models", self._handle_models)
         app.router.add_route(
-            "*", "/services/{service}/{operation}", self._answer_service
+            "*", "/services/{service}/{operation}", self._handle_service
         )
-        app.router.add_get("/health", self._answer_health)
+        app.router.add_get("/health", self._handle_health)
         self._runner = web.AppRunner(
             app, access_log=None, handler_cancellation=True, shutdown_timeout=1.0
         )
@@ -68,75 +68,81 @@
         self.port = self._runner.addresses[0][1]
 
     async def on_stop(self) -> None:
-        """Stop listening."""
+        """Stop listening and close all connections."""
         if self._runner is not None:
             await self._runner.cleanup()
 
     async def drain(self, timeout_s: float) -> bool:
-        """Wait for the requests in flight; tell whether all of them ended."""
+        """Wait for open requests; return whether all ended within timeout_s."""
         deadline = time.monotonic() + timeout_s
-        while self._gate.n_open or self._blackboard.closing:
+        while self._gate.n_open_requests or self._blackboard.closing:
             if time.monotonic() >= deadline:
                 return False
-            await asyncio.sleep(DRAIN_POLL_S)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
         return True
 
-    def _identify(self, request: web.Request, visit: Visit) -> Caller | Refusal:
+    def _identify(
+        self, request: web.Request, context: RequestContext
+    ) -> Caller | Refusal:
         if self._blackboard.phase is Phase.DRAINING:
-            return Refusal(reason=Reason.SHUTTING_DOWN, retry_after_s=SHUTDOWN_RETRY_S)
+            return Refusal(
+                reason=Reason.SHUTTING_DOWN, retry_after_s=UNAVAILABLE_RETRY_AFTER_S
+            )
         if self._blackboard.phase is Phase.STARTING:
-            return Refusal(reason=Reason.NOT_READY, retry_after_s=SHUTDOWN_RETRY_S)
+            return Refusal(
+                reason=Reason.NOT_READY, retry_after_s=UNAVAILABLE_RETRY_AFTER_S
+            )
         caller = self._identifier.identify(request, self._blackboard.configuration)
-        visit.caller = caller if isinstance(caller, Caller) else None
+        context.caller = caller if isinstance(caller, Caller) else None
         return caller
 
-    async def _answer_health(self, request: web.Request) -> web.Response:
-        ready = self._blackboard.phase is Phase.SERVING
+    async def _handle_health(self, request: web.Request) -> web.Response:
+        is_ready = self._blackboard.phase is Phase.SERVING
         return web.json_response(
-            {"phase": self._blackboard.phase.value}, status=200 if ready else 503
+            {"phase": self._blackboard.phase.value}, status=200 if is_ready else 503
         )
 
-    async def _answer_models(self, request: web.Request) -> web.Response:
-        visit = Visit()
-        caller = self._identify(request, visit)
+    async def _handle_models(self, request: web.Request) -> web.Response:
+        context = RequestContext()
+        caller = self._identify(request, context)
         if isinstance(caller, Refusal):
-            return self._reporter.refuse(caller, visit)
+            return self._reporter.refuse(caller, context)
         models = [
             {"id": name, "object": "model", "owned_by": "trefoilstage"}
             for name in sorted(self._blackboard.configuration.models)
         ]
         return web.json_response({"object": "list", "data": models})
 
-    async def _answer_chat(self, request: web.Request) -> web.StreamResponse:
-        visit = Visit()
-        caller = self._identify(request, visit)
+    async def _handle_chat(self, request: web.Request) -> web.StreamResponse:
+        context = RequestContext()
+        caller = self._identify(request, context)
         if isinstance(caller, Refusal):
-            return self._reporter.refuse(caller, visit)
+            return self._reporter.refuse(caller, context)
         self._blackboard.n_active += 1
         try:
             body = await read_body(request, caller)
             if isinstance(body, Refusal):
-                return self._reporter.refuse(body, visit)
-            return await self._chats.answer(request, caller, body, visit)
+                return self._reporter.refuse(body, context)
+            return await self._chats.handle(request, caller, body, context)
         finally:
             self._blackboard.n_active -= 1
 
-    async def _answer_service(self, request: web.Request) -> web.StreamResponse:
-        visit = Visit()
-        caller = self._identify(request, visit)
+    async def _handle_service(self, request: web.Request) -> web.StreamResponse:
+        context = RequestContext()
+        caller = self._identify(request, context)
         if isinstance(caller, Refusal):
-            return self._reporter.refuse(caller, visit)
+            return self._reporter.refuse(caller, context)
         self._blackboard.n_active += 1
         try:
             body = await read_body(request, caller)
             if isinstance(body, Refusal):
-                return self._reporter.refuse(body, visit)
-            return await self._call_service(request, caller, body, visit)
+                return self._reporter.refuse(body, context)
+            return await self._call_service(request, caller, body, context)
         finally:
             self._blackboard.n_active -= 1
 
     async def _call_service(
-        self, request: web.Request, caller: Caller, body: bytes, visit: Visit
+        self, request: web.Request, caller: Caller, body: bytes, context: RequestContext
     ) -> web.StreamResponse:
         call = ServiceCall(
             service=request.match_info["service"],
@@ -145,27 +151,27 @@
             has_key=caller.has_key,
             body=body,
         )
-        answer = await self._bookings.run(caller, call)
-        if isinstance(answer, Refusal):
-            return self._reporter.refuse(answer, visit)
-        self._reporter.note_done(
-            visit,
+        result = await self._bookings.run(caller, call)
+        if isinstance(result, Refusal):
+            return self._reporter.refuse(result, context)
+        self._reporter.report_completed(
+            context,
             service=call.service,
             operation=call.operation,
-            status=answer.status,
+            status=result.status,
         )
         return web.Response(
-            status=answer.status,
-            body=answer.body,
+            status=result.status,
+            body=result.body,
             headers={
-                "Content-Type": answer.content_type,
+                "Content-Type": result.content_type,
                 HEADER_REQUEST_ID: caller.request,
             },
         )
 
 
 async def read_body(request: web.Request, caller: Caller) -> bytes | Refusal:
-    """Return a request's body, or why it is refused."""
+    """Return a request's body, or a refusal if it is too large or late."""
     try:
         async with asyncio.timeout(caller.deadline_s):
             return await request.read()
--- a/trefoilstage/components/keys/controller.py
+++ b/trefoilstage/components/keys/controller.py
@@ -90,7 +90,7 @@
 
     def get_or_start_run(self, caller: Caller, chat: ChatRequest) -> Run | Refusal:
         """Return the run of a caller's key, and start one if there is none."""
-        digest = hash_call("chat", chat.make_canonical())
+        digest = hash_call("chat", chat.serialize_canonically())
         existing = self._runs.get(caller.key)
         if existing is not None:
             return existing if existing.digest == digest else KEY_REUSED_REFUSAL
--- a/trefoilstage/components/keys/runs.py
+++ b/trefoilstage/components/keys/runs.py
@@ -4,7 +4,7 @@
 from collections.abc import AsyncGenerator
 from dataclasses import dataclass, field
 
-from trefoilstage.components.callers.generation import Answer
+from trefoilstage.components.callers.generation import GenerationResult
 from trefoilstage.components.targets.models import Chunk
 from trefoilstage.helpers.verdict import Refusal
 
@@ -24,7 +24,7 @@
     last_listened_at: float
     ended_at: float = 0.0
     chunks: list[Chunk] = field(default_factory=list)
-    result: Answer = field(default_factory=Answer)
+    result: GenerationResult = field(default_factory=GenerationResult)
     ended: bool = False
     is_local: bool = True
     n_bytes: int = 0
