--- a/tests/components/forwarding/test_connections.py
+++ b/tests/components/forwarding/test_connections.py
@@ -7,7 +7,10 @@
 from tests.components.boards import make_board
 from tests.components.forwarding.common import make_target
 from trefoilstage.components.forwarding.border import ForwardOptions
-from trefoilstage.components.forwarding.connections import count_idle, read_idle_time
+from trefoilstage.components.forwarding.connections import (
+    limit_idle_connections,
+    parse_idle_time,
+)
 from trefoilstage.components.forwarding.models import CallerRequest
 from trefoilstage.components.forwarding.sender import (
     Broken,
@@ -265,17 +268,17 @@
     def test_targets_time_is_kept_to(self) -> None:
         """Leave a connection before its target closes it."""
         for text, seconds in (("timeout=5", 4.3), ("5, max=9", 4.3), ("timeout=0", 0)):
-            found = read_idle_time({"Keep-Alive": text})
+            found = parse_idle_time({"Keep-Alive": text})
             self.assertAlmostEqual(found, seconds)
-        self.assertLess(read_idle_time({}), 1.0)
-        self.assertEqual(read_idle_time({"Keep-Alive": "timeout=900"}), 15.0)
+        self.assertLess(parse_idle_time({}), 1.0)
+        self.assertEqual(parse_idle_time({"Keep-Alive": "timeout=900"}), 15.0)
 
     def test_all_hosts_leave_room_for_work(self) -> None:
         """Share what the scarcest target takes; each host keeps one at least."""
-        self.assertEqual(count_idle([370, 110], 9), 3)
-        self.assertLessEqual(9 * count_idle([370, 110], 9), 110 // 3)
-        self.assertEqual(count_idle([110], 400), 1)
-        self.assertEqual(count_idle([], 9), 1)
+        self.assertEqual(limit_idle_connections([370, 110], 9), 3)
+        self.assertLessEqual(9 * limit_idle_connections([370, 110], 9), 110 // 3)
+        self.assertEqual(limit_idle_connections([110], 400), 1)
+        self.assertEqual(limit_idle_connections([], 9), 1)
 
 
 if __name__ == "__main__":
--- a/tests/components/forwarding/test_events.py
+++ b/tests/components/forwarding/test_events.py
@@ -24,11 +24,11 @@
                 events += splitter.add(rest[:size])
                 rest = rest[size:]
             self.assertEqual(events, whole)
-            self.assertTrue(splitter.has_rest)
+            self.assertTrue(splitter.has_partial_event)
 
     def test_numbers_are_read(self) -> None:
         """Read each event's id; one without has none."""
-        numbers = [event.number for event in EventSplitter().add(STREAM)]
+        numbers = [event.event_id for event in EventSplitter().add(STREAM)]
         self.assertEqual(numbers, [1, 2, None])
 
     def test_bytes_are_kept(self) -> None:
--- a/tests/components/forwarding/test_pipeline.py
+++ b/tests/components/forwarding/test_pipeline.py
@@ -18,7 +18,7 @@
     RouteKind,
 )
 from trefoilstage.components.forwarding.pipeline import ForwardingPipeline
-from trefoilstage.components.forwarding.placement import Survey
+from trefoilstage.components.forwarding.placement import CandidateInfo
 from trefoilstage.components.forwarding.run import Run
 from trefoilstage.components.forwarding.sender import Broken, OpenAnswer
 from trefoilstage.components.forwarding.targets import SentPrompt
@@ -44,32 +44,32 @@
     """Stand in for the parts beside the pipeline, and note what it tells them."""
 
     status: int
-    n_read: list[int] = field(default_factory=list)
-    n_unread: list[int] = field(default_factory=list)
+    n_prefilled: list[int] = field(default_factory=list)
+    n_cancelled: list[int] = field(default_factory=list)
 
-    async def refresh(self, *_: object) -> Survey:
-        return Survey()
+    async def query_candidates(self, *_: object) -> CandidateInfo:
+        return CandidateInfo()
 
-    def should_ask_again(self, asked_at: float) -> bool:
-        return asyncio.get_running_loop().time() - asked_at > 0.2
+    def should_query_again(self, queried_at: float) -> bool:
+        return asyncio.get_running_loop().time() - queried_at > 0.2
 
     def choose(self, **_: object) -> Any:
         return make_target("i-1")
 
-    def note_request(self, service: str) -> None: ...
+    def count_request(self, service: str) -> None: ...
 
-    def note_start(self, *_: object) -> SentPrompt:
-        return SentPrompt(n_unread=17_000, n_ahead=0, at=0.0)
+    def add_request(self, *_: object) -> SentPrompt:
+        return SentPrompt(n_uncached_tokens=17_000, n_queued_tokens=0, sent_at=0.0)
 
-    def note_first_token(self, _: object, sent: SentPrompt) -> None:
-        self.n_read.append(sent.n_unread)
+    def record_first_token(self, _: object, sent: SentPrompt) -> None:
+        self.n_prefilled.append(sent.n_uncached_tokens)
 
-    def note_unread(self, _: object, sent: SentPrompt) -> None:
-        self.n_unread.append(sent.n_unread)
+    def remove_pending_prefill(self, _: object, sent: SentPrompt) -> None:
+        self.n_cancelled.append(sent.n_uncached_tokens)
 
-    def note_end(self, *_: object) -> None: ...
+    def remove_request(self, *_: object) -> None: ...
 
-    def note_answer(self, *_: object) -> None: ...
+    def record_answer(self, *_: object) -> None: ...
 
     async def hold(self, *_: object) -> Hold:
         return Hold(workspace="school", request="r-1", tokens=0)
@@ -134,7 +134,7 @@
     return await pipeline.run(run, cast(Any, parts))
 
 
-class PaceTest(unittest.IsolatedAsyncioTestCase):
+class PrefillSampleTest(unittest.IsolatedAsyncioTestCase):
     """Test which answers tell a target's pace."""
 
     async def ask(self, status: int, kind: RouteKind) -> Parts:
@@ -150,11 +150,11 @@
         prompts would go there to fail.
         """
         parts = await self.ask(500, RouteKind.ONCE)
-        self.assertEqual((parts.n_read, parts.n_unread), ([], [17_000]))
+        self.assertEqual((parts.n_prefilled, parts.n_cancelled), ([], [17_000]))
 
     async def test_success_is_a_reading(self) -> None:
         parts = await self.ask(200, RouteKind.ONCE)
-        self.assertEqual((parts.n_read, parts.n_unread), ([17_000], []))
+        self.assertEqual((parts.n_prefilled, parts.n_cancelled), ([17_000], []))
 
 
 @dataclass(kw_only=True)
@@ -162,32 +162,32 @@
     """Grant the hold late, and count the surveys of targets."""
 
     hold_s: float
-    n_surveys: int = 0
+    n_queries: int = 0
 
     async def hold(self, *_: object) -> Hold:
         await asyncio.sleep(self.hold_s)
         return await super().hold()
 
-    async def refresh(self, *_: object) -> Survey:
-        self.n_surveys += 1
-        return Survey()
+    async def query_candidates(self, *_: object) -> CandidateInfo:
+        self.n_queries += 1
+        return CandidateInfo()
 
 
-class SurveyTest(unittest.TestCase):
+class CandidateQueryTest(unittest.TestCase):
     """Test what a choice goes by."""
 
-    def count_surveys(self, hold_s: float) -> int:
+    def count_queries(self, hold_s: float) -> int:
         """Return how often targets are surveyed for one prompt."""
         parts = SlowParts(status=200, hold_s=hold_s)
         run_virtually(ask(parts, RouteKind.ONCE, max_attempts=1))
-        return parts.n_surveys
+        return parts.n_queries
 
     def test_prompt_that_waited_asks_about_targets_again(self) -> None:
         """Guard against all that waited out an outage choosing the same targets."""
-        self.assertEqual(self.count_surveys(2.0), 2)
+        self.assertEqual(self.count_queries(2.0), 2)
 
     def test_prompt_that_did_not_wait_asks_once(self) -> None:
-        self.assertEqual(self.count_surveys(0.01), 1)
+        self.assertEqual(self.count_queries(0.01), 1)
 
 
 BLOCKED = Refusal(reason=Reason.CRASHES_TARGETS, retry_after_s=60.0)
@@ -210,10 +210,10 @@
         self.n_passed -= 1
         return BLOCKED if self.n_passed < 0 else None
 
-    def has_other(self, *_: object) -> bool:
+    def has_other_target(self, *_: object) -> bool:
         return True
 
-    def take_repeat(self, _: str) -> bool:
+    def take_retry(self, _: str) -> bool:
         return True
 
     def note_cut(self, *_: object, **__: object) -> None: ...
--- a/tests/components/forwarding/test_placement.py
+++ b/tests/components/forwarding/test_placement.py
@@ -7,8 +7,8 @@
 from tests.components.forwarding.common import make_target
 from trefoilstage.components.forwarding.models import PromptPart, TargetEntry
 from trefoilstage.components.forwarding.placement import (
-    Option,
     PromptNeed,
+    TargetOption,
     choose_by_load,
     choose_by_prompt,
     find_subject,
@@ -33,10 +33,10 @@
 ) -> str:
     """Return where a prompt goes of which 5,000 tokens are kept by some targets."""
     options = [
-        Option(
+        TargetOption(
             target=target,
             work=(work or {}).get(target.name, IDLE),
-            n_kept_tokens=N_SHARED if target.name in keepers else 0,
+            n_cached_tokens=N_SHARED if target.name in keepers else 0,
             kv_tokens=KV_TOKENS,
         )
         for target in rank_candidates(targets, subject)
@@ -145,7 +145,10 @@
         """Prefer fewer requests to a short way, and a short way among equals."""
         far = make_target("far", data_center="quimper")
         near = make_target("near")
-        options = [Option(target=far, work=IDLE), Option(target=near, work=IDLE)]
+        options = [
+            TargetOption(target=far, work=IDLE),
+            TargetOption(target=near, work=IDLE),
+        ]
         self.assertEqual(choose_by_load(options, "brest", "r").name, "near")
-        options[1] = Option(target=near, work=Work(n_requests=1))
+        options[1] = TargetOption(target=near, work=Work(n_requests=1))
         self.assertEqual(choose_by_load(options, "brest", "r").name, "far")
--- a/tests/components/forwarding/test_prompt_cache.py
+++ b/tests/components/forwarding/test_prompt_cache.py
@@ -16,22 +16,22 @@
 
     def setUp(self) -> None:
         """Have room for four parts."""
-        self.cache = PromptCache(capacity=4_000)
+        self.cache = PromptCache(capacity_tokens=4_000)
 
     def test_leading_parts_count_as_far_as_they_are_kept(self) -> None:
         """Keep the first two parts of three; a part behind a gap is read again."""
         self.cache.add(make_prompt("system", "dossier", "own-1"))
         self.assertEqual(
-            self.cache.count_kept(make_prompt("system", "dossier", "own-2")), 2_000
+            self.cache.count_cached(make_prompt("system", "dossier", "own-2")), 2_000
         )
-        self.assertEqual(self.cache.count_kept(make_prompt("other", "dossier")), 0)
+        self.assertEqual(self.cache.count_cached(make_prompt("other", "dossier")), 0)
 
     def test_least_recently_used_part_goes_first(self) -> None:
         """Read five parts with room for four, one of them again in between."""
         for name in ("a", "b", "c", "d", "a", "e"):
             self.cache.add(make_prompt(name))
         kept = [
-            name for name in "abcde" if self.cache.count_kept(make_prompt(name)) > 0
+            name for name in "abcde" if self.cache.count_cached(make_prompt(name)) > 0
         ]
         self.assertEqual(kept, ["a", "c", "d", "e"])
 
@@ -40,7 +40,7 @@
         self.cache.add(make_prompt("huge", n_tokens=9_000))
         for name in ("a", "b"):
             self.cache.add(make_prompt(name))
-        self.assertEqual(self.cache.count_kept(make_prompt("b")), 1_000)
+        self.assertEqual(self.cache.count_cached(make_prompt("b")), 1_000)
         self.assertLessEqual(self.cache.n_tokens, 4_000)
 
 
@@ -51,9 +51,9 @@
         """Forget a target's former incarnation; the new one has read nothing."""
         caches = PromptCaches()
         caches.add("i-1@1000", 10_000, make_prompt("a"))
-        caches.forget_others({"i-1@2000"})
-        self.assertEqual(caches.count_kept("i-1@1000", make_prompt("a")), 0)
-        self.assertEqual(caches.count_kept("i-1@2000", make_prompt("a")), 0)
+        caches.keep_only({"i-1@2000"})
+        self.assertEqual(caches.count_cached("i-1@1000", make_prompt("a")), 0)
+        self.assertEqual(caches.count_cached("i-1@2000", make_prompt("a")), 0)
 
 
 if __name__ == "__main__":
--- a/tests/components/forwarding/test_retries.py
+++ b/tests/components/forwarding/test_retries.py
@@ -20,8 +20,8 @@
         for number in range(3_000):
             now = number * 0.01
             budget = budgets[0 if number % 3 else number % 7]
-            budget.note_request(now)
-            if budget.take(now, 7):
+            budget.count_request(now)
+            if budget.take_retry(now, 7):
                 repeats.append(now)
         for start in range(21):
             inside = sum(start <= at < start + 10 for at in repeats)
@@ -31,5 +31,5 @@
     def test_lone_failure_is_repeated(self) -> None:
         """Repeat the first request of a quiet host of a fleet of seven."""
         budget = RetryBudget(ratio=0.2, slack=50, window_s=10)
-        budget.note_request(0.0)
-        self.assertTrue(budget.take(0.0, 7))
+        budget.count_request(0.0)
+        self.assertTrue(budget.take_retry(0.0, 7))
--- a/tests/components/forwarding/test_server.py
+++ b/tests/components/forwarding/test_server.py
@@ -35,7 +35,7 @@
     async def ask_ready(self) -> int:
         """Return the status of the balancer's question."""
         request: Any = mock.Mock()
-        return (await self.server._answer_ready(request)).status
+        return (await self.server._handle_ready(request)).status
 
     async def test_callers_are_sent_on_once_the_balancer_has_left(self) -> None:
         """Fill the link and let the balancer ask twice.
@@ -44,17 +44,17 @@
         more refusal it would have nothing.
         """
         now = self.fill(0.5)
-        self.assertFalse(self.server._must_leave(0.6, now))
+        self.assertFalse(self.server._should_send_elsewhere(0.6, now))
         self.assertEqual(await self.ask_ready(), 503)
-        self.assertFalse(self.server._must_leave(0.6, now))
+        self.assertFalse(self.server._should_send_elsewhere(0.6, now))
         self.assertEqual(await self.ask_ready(), 503)
-        self.assertTrue(self.server._must_leave(0.6, now))
+        self.assertTrue(self.server._should_send_elsewhere(0.6, now))
 
     async def test_callers_with_time_are_taken(self) -> None:
         now = self.fill(0.5)
         for _ in range(2):
             await self.ask_ready()
-        self.assertFalse(self.server._must_leave(10.0, now))
+        self.assertFalse(self.server._should_send_elsewhere(10.0, now))
 
     async def test_host_comes_back_when_its_link_has_room(self) -> None:
         self.fill(0.5)
@@ -62,14 +62,14 @@
             await self.ask_ready()
         now = self.fill(0.002)
         self.assertEqual(await self.ask_ready(), 200)
-        self.assertFalse(self.server._must_leave(0.6, now))
+        self.assertFalse(self.server._should_send_elsewhere(0.6, now))
 
     async def test_callers_are_taken_where_others_stand_no_better(self) -> None:
         now = self.fill(0.5)
         for peer in self.board.peers.values():
             peer.link_full = True
         self.assertEqual(await self.ask_ready(), 200)
-        self.assertFalse(self.server._must_leave(0.6, now))
+        self.assertFalse(self.server._should_send_elsewhere(0.6, now))
 
 
 if __name__ == "__main__":
--- a/tests/components/forwarding/test_targets.py
+++ b/tests/components/forwarding/test_targets.py
@@ -15,7 +15,7 @@
     PromptPart,
     ServiceConfig,
 )
-from trefoilstage.components.forwarding.placement import PromptNeed, Survey
+from trefoilstage.components.forwarding.placement import CandidateInfo, PromptNeed
 from trefoilstage.components.forwarding.sender import NotSent
 from trefoilstage.components.forwarding.targets import TargetChooser
 from trefoilstage.components.forwarding.work import Work
@@ -55,7 +55,7 @@
             excluded=set(),
             need=None,
             prompt=(),
-            survey=Survey(),
+            candidate_info=CandidateInfo(),
             request="r-1",
         )
         return target.incarnation if target else ""
@@ -68,7 +68,7 @@
             excluded=set(),
             need=need,
             prompt=prompt,
-            survey=Survey(),
+            candidate_info=CandidateInfo(),
             request="r-1",
         )
         return target.incarnation if target else ""
@@ -78,10 +78,10 @@
         old = make_target("i-1", started_ms=1)
         self.board.targets.add(old)
         self.board.targets.add(make_target("i-2", started_ms=1))
-        self.chooser.note_answer(old, NotSent(reason="timeout", silent=True))
+        self.chooser.record_answer(old, NotSent(reason="timeout", silent=True))
         self.assertEqual(self.choose(), "i-2@1")
         busy = make_target("i-2", started_ms=1)
-        self.chooser.note_start(busy, (), Survey())
+        self.chooser.add_request(busy, (), CandidateInfo())
         self.board.targets.add(make_target("i-1", started_ms=2))
         self.assertEqual(self.choose(), "i-1@2")
 
@@ -97,7 +97,7 @@
             make_target("i-1", started_ms=3_000, address="127.0.0.1:2")
         )
         self.assertEqual(self.choose(), "i-1@5000")
-        self.chooser.note_answer(old, NotSent(reason="refused", unreachable=True))
+        self.chooser.record_answer(old, NotSent(reason="refused", unreachable=True))
         self.assertEqual(self.choose(), "i-1@3000")
 
     async def test_ended_targets_are_forgotten(self) -> None:
@@ -105,7 +105,7 @@
         for number in range(100):
             target = make_target("i-1", started_ms=number)
             self.board.targets.add(target)
-            self.chooser.note_start(target, (), Survey())
+            self.chooser.add_request(target, (), CandidateInfo())
         self.assertLessEqual(len(self.chooser._healths), 2)
 
     async def test_subject_that_another_host_sent_is_not_counted_as_work(self) -> None:
@@ -115,9 +115,9 @@
             PromptPart(name="dossier", n_tokens=13_000),
             PromptPart(name="own", n_tokens=4_000),
         )
-        survey = Survey(kept={target.incarnation: 13_000})
-        sent = self.chooser.note_start(target, prompt, survey)
-        self.assertEqual(sent.n_unread, 4_000)
+        candidate_info = CandidateInfo(cached_tokens={target.incarnation: 13_000})
+        sent = self.chooser.add_request(target, prompt, candidate_info)
+        self.assertEqual(sent.n_uncached_tokens, 4_000)
         work = self.workload.get_work(target.incarnation)
         self.assertEqual(work.prompt_tokens, 4_000)
 
@@ -125,11 +125,11 @@
         """Guard against targets that look full, or free, whatever runs there."""
         target = make_target("i-1")
         prompt = (PromptPart(name="own", n_tokens=17_000),)
-        sent = self.chooser.note_start(target, prompt, Survey())
-        self.chooser.note_first_token(target, sent)
+        sent = self.chooser.add_request(target, prompt, CandidateInfo())
+        self.chooser.record_first_token(target, sent)
         work = self.workload.get_work(target.incarnation)
         self.assertEqual(work, Work(n_requests=1, held_tokens=17_000))
-        self.chooser.note_end(target, prompt)
+        self.chooser.remove_request(target, prompt)
         self.assertEqual(self.workload.get_work(target.incarnation), Work())
 
     async def test_target_whose_memory_is_taken_is_left(self) -> None:
@@ -144,10 +144,10 @@
             self.board.targets.add(target)
         prompt = (PromptPart(name="dossier", n_tokens=60_000),)
         for target in targets:
-            sent = self.chooser.note_start(target, prompt, Survey())
-            self.chooser.note_first_token(target, sent)
+            sent = self.chooser.add_request(target, prompt, CandidateInfo())
+            self.chooser.record_first_token(target, sent)
             self.assertNotEqual(self.choose_for(prompt), target.incarnation)
-            self.chooser.note_end(target, prompt)
+            self.chooser.remove_request(target, prompt)
 
 
 if __name__ == "__main__":
--- a/tests/components/forwarding/test_workload.py
+++ b/tests/components/forwarding/test_workload.py
@@ -10,8 +10,11 @@
 from tests.components.escrow.common import ManualTimer
 from tests.components.forwarding.common import make_target
 from trefoilstage.components.fleet.messages import FLEET_CODEC
-from trefoilstage.components.forwarding.heard_work import MAX_AGE_S, TOTALS_AGE_S
-from trefoilstage.components.forwarding.messages import AskWork, WorkReport
+from trefoilstage.components.forwarding.heard_work import (
+    MAX_REPORT_AGE_S,
+    MAX_TOTALS_AGE_S,
+)
+from trefoilstage.components.forwarding.messages import WorkQuery, WorkReport
 from trefoilstage.components.forwarding.models import PromptPart
 from trefoilstage.components.forwarding.placement import (
     MAX_CANDIDATES,
@@ -34,7 +37,7 @@
         self.names = [f"host-{number}" for number in range(n_hosts)]
         self.workloads = {name: self.make(name) for name in self.names}
         self.down: set[str] = set()
-        self.n_told = 0
+        self.n_reports = 0
 
     def make(self, name: str) -> WorkloadController:
         """Return the controller of one host that has heard all others."""
@@ -69,7 +72,7 @@
             await self.waiting.pop()
 
 
-class AskedTargets:
+class RecordedQueries:
     """Note which targets a chooser of a large fleet asks about."""
 
     def __init__(self, work: Work) -> None:
@@ -79,10 +82,10 @@
         for number in range(30):
             board.targets.add(make_target(f"i-{number}"))
         workload = mock.Mock()
-        workload.refresh = self.refresh
+        workload.query_homes = self.query_homes
         workload.get_work.side_effect = lambda name: work
-        workload.get_pace.return_value = 60_000.0
-        workload.count_kept.return_value = 0
+        workload.get_prefill_speed.return_value = 60_000.0
+        workload.count_cached.return_value = 0
         self.chooser = TargetChooser(
             board=board,
             membership=mock.Mock(),
@@ -91,7 +94,7 @@
             workload=workload,
         )
 
-    async def refresh(self, targets: list[str], _: object) -> dict[str, int]:
+    async def query_homes(self, targets: list[str], _: object) -> dict[str, int]:
         """Note what is asked about; nobody has anything in memory."""
         self.asked.append(targets)
         return {}
@@ -99,7 +102,7 @@
     async def ask(self) -> list[int]:
         """Return how many targets are asked about for one prompt, call by call."""
         need = PromptNeed(subject="dossier", n_tokens=12_000, objective_s=0.8)
-        await self.chooser.refresh("assistant", need, ())
+        await self.chooser.query_candidates("assistant", need, ())
         return [len(names) for names in self.asked]
 
 
@@ -120,7 +123,7 @@
             board=board, links=links, server=mock.Mock(), timer=timer
         )
         names = [f"i-{number}" for number in range(3)]
-        await workload.refresh(names, ())
+        await workload.query_homes(names, ())
         calls = link.call.await_args_list
         return float(max(call.kwargs["timeout_s"] for call in calls))
 
@@ -136,7 +139,7 @@
         self.assertEqual(await self.ask(0.002), 0.05)
 
 
-class OutdatedSurveyTest(unittest.TestCase):
+class OutdatedCandidateInfoTest(unittest.TestCase):
     """Test when a host of a large fleet asks about targets once more."""
 
     def should_ask(self, *, n_hosts: int, trip_s: float, age_s: float) -> bool:
@@ -154,7 +157,7 @@
             workload=workload,
         )
         network.timer.time = age_s
-        return chooser.should_ask_again(0.0)
+        return chooser.should_query_again(0.0)
 
     def test_old_answers_are_asked_for_again(self) -> None:
         self.assertTrue(self.should_ask(n_hosts=66, trip_s=0.002, age_s=1.0))
@@ -182,23 +185,23 @@
         self.assertEqual(decoded, report)
 
 
-class SurveyTest(unittest.IsolatedAsyncioTestCase):
+class CandidateQueryTest(unittest.IsolatedAsyncioTestCase):
     """Test how many targets are asked about for a prompt."""
 
     async def test_few_targets_are_asked_in_a_large_fleet(self) -> None:
-        self.assertEqual(await AskedTargets(Work()).ask(), [3])
+        self.assertEqual(await RecordedQueries(Work()).ask(), [3])
 
     async def test_more_targets_are_asked_while_a_prompt_would_be_late(self) -> None:
         """Let 60,000 tokens wait at each target; reading them takes 1 s."""
-        survey = AskedTargets(Work(prompt_tokens=60_000))
-        self.assertEqual(await survey.ask(), [3, 3, 6, 12])
-        names = [name for call in survey.asked for name in call]
+        queries = RecordedQueries(Work(prompt_tokens=60_000))
+        self.assertEqual(await queries.ask(), [3, 3, 6, 12])
+        names = [name for call in queries.asked for name in call]
         self.assertEqual(len(set(names)), MAX_CANDIDATES)
 
     async def test_more_targets_are_asked_while_those_known_are_full(self) -> None:
         """Guard against a subject that waits for three targets while others idle."""
-        survey = AskedTargets(Work(n_requests=make_target("i-0").slots))
-        self.assertEqual(await survey.ask(), [3, 3, 6, 12])
+        queries = RecordedQueries(Work(n_requests=make_target("i-0").slots))
+        self.assertEqual(await queries.ask(), [3, 3, 6, 12])
 
 
 class Link:
@@ -210,14 +213,14 @@
 
     async def tell(self, message: WorkReport, *, timeout_s: float) -> None:
         """Deliver a report."""
-        self.network.n_told += 1
-        await self.network.workloads[self.name]._take_report(message)
+        self.network.n_reports += 1
+        await self.network.workloads[self.name]._receive_report(message)
 
-    async def call(self, message: AskWork, *, timeout_s: float) -> Any:
+    async def call(self, message: WorkQuery, *, timeout_s: float) -> Any:
         """Deliver a question and return its answer."""
         if self.name in self.network.down:
             raise PeerUnavailableError("down")
-        return await self.network.workloads[self.name]._answer_work(message)
+        return await self.network.workloads[self.name]._answer_query(message)
 
 
 class WorkloadTest(unittest.IsolatedAsyncioTestCase):
@@ -225,9 +228,9 @@
 
     async def test_small_fleet_tells_all(self) -> None:
         network = Network(7)
-        network.workloads["host-0"].add("i-1", n_requests=1, prompt_tokens=900)
+        network.workloads["host-0"].adjust_work("i-1", n_requests=1, prompt_tokens=900)
         await network.report("host-0")
-        self.assertEqual(network.n_told, 6)
+        self.assertEqual(network.n_reports, 6)
         work = network.workloads["host-3"].get_work("i-1")
         self.assertEqual((work.n_requests, work.prompt_tokens), (1, 900))
 
@@ -239,11 +242,11 @@
         """
         network = Network(66)
         for name in ("host-0", "host-1"):
-            network.workloads[name].add("i-1", n_requests=1, prompt_tokens=900)
+            network.workloads[name].adjust_work("i-1", n_requests=1, prompt_tokens=900)
             await network.report(name)
-        self.assertLessEqual(network.n_told, 2)
+        self.assertLessEqual(network.n_reports, 2)
         asking = network.workloads["host-2"]
-        await asking.refresh(["i-1"], ())
+        await asking.query_homes(["i-1"], ())
         work = asking.get_work("i-1")
         self.assertEqual((work.n_requests, work.prompt_tokens), (2, 1_800))
 
@@ -251,12 +254,12 @@
         """End a request; the next host to ask must not count it any more."""
         network = Network(66)
         own = network.workloads["host-0"]
-        own.add("i-1", n_requests=1, prompt_tokens=900)
+        own.adjust_work("i-1", n_requests=1, prompt_tokens=900)
         await network.report("host-0")
-        own.add("i-1", n_requests=-1, prompt_tokens=-900)
+        own.adjust_work("i-1", n_requests=-1, prompt_tokens=-900)
         await network.report("host-0")
         asking = network.workloads["host-2"]
-        await asking.refresh(["i-1"], ())
+        await asking.query_homes(["i-1"], ())
         self.assertEqual(asking.get_work("i-1").n_requests, 0)
 
     async def test_prompts_are_known_to_all_of_a_small_fleet(self) -> None:
@@ -267,7 +270,7 @@
         network.workloads["host-0"].add_prompt("i-1@0", 10_000, prompt)
         await network.report("host-0")
         await network.report("host-3")
-        self.assertEqual(network.workloads["host-3"].count_kept("i-1@0", prompt), 900)
+        self.assertEqual(network.workloads["host-3"].count_cached("i-1@0", prompt), 900)
 
     async def test_gathering_host_tells_what_a_target_keeps(self) -> None:
         """Send a prompt from one of 66 hosts; another asks before it sends its own."""
@@ -276,19 +279,21 @@
         network.list_target("i-1")
         network.workloads["host-0"].add_prompt("i-1@0", 10_000, prompt)
         await network.report("host-0")
-        kept = await network.workloads["host-2"].refresh(["i-1@0"], prompt)
+        kept = await network.workloads["host-2"].query_homes(["i-1@0"], prompt)
         self.assertEqual(kept.get("i-1@0"), 900)
 
     async def test_long_request_is_known_while_it_runs(self) -> None:
         """Guard against targets that look idle 1.5 s after their last request came."""
         for n_hosts in (7, 66):
             network = Network(n_hosts)
-            network.workloads["host-0"].add("i-1", n_requests=1, held_tokens=17_000)
+            network.workloads["host-0"].adjust_work(
+                "i-1", n_requests=1, held_tokens=17_000
+            )
             for _ in range(20):
                 network.timer.time += 0.1
                 await network.report("host-0")
             asking = network.workloads["host-2"]
-            await asking.refresh(["i-1"], ())
+            await asking.query_homes(["i-1"], ())
             self.assertEqual(asking.get_work("i-1").held_tokens, 17_000, n_hosts)
 
     async def test_hosts_and_targets_that_are_gone_are_forgotten(self) -> None:
@@ -298,21 +303,21 @@
         for number in range(100):
             network.timer.time += 0.02
             work = {f"i-1@{number}": Work(n_requests=1)}
-            await workload._take_report(WorkReport(host=f"new-{number}", work=work))
-            await workload.refresh(list(work), ())
+            await workload._receive_report(WorkReport(host=f"new-{number}", work=work))
+            await workload.query_homes(list(work), ())
             await network.report("host-2")
-        network.timer.time += MAX_AGE_S + TOTALS_AGE_S
+        network.timer.time += MAX_REPORT_AGE_S + MAX_TOTALS_AGE_S
         await network.report("host-2")
-        self.assertEqual(workload._heard.reports, {})
-        self.assertEqual(workload._asked.totals, {})
+        self.assertEqual(workload._peer_work.reports, {})
+        self.assertEqual(workload._home_totals.totals, {})
 
     async def test_silent_gathering_host_holds_nothing_up(self) -> None:
         """Ask a host that does not answer; the choice goes by own work."""
         network = Network(66)
         asking = network.workloads["host-2"]
-        asking.add("i-1", n_requests=1)
+        asking.adjust_work("i-1", n_requests=1)
         network.down = set(network.names)
-        await asking.refresh(["i-1"], ())
+        await asking.query_homes(["i-1"], ())
         self.assertEqual(asking.get_work("i-1").n_requests, 1)
 
 
--- a/trefoilstage/components/forwarding/answers.py
+++ b/trefoilstage/components/forwarding/answers.py
@@ -1,4 +1,4 @@
-"""Define the answers of our own that callers get."""
+"""Create the HTTP responses for requests that are refused."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 from trefoilstage.const import HEADER_RETRY_AFTER
 from trefoilstage.helpers.verdict import Effect, Reason, Refusal
 
-# A status that says "not run" is used only where that is certain.
+# Statuses of requests that certainly did not run on a target.
 STATUSES: Mapping[Reason, int] = {
     Reason.BAD_REQUEST: 400,
     Reason.UNAUTHORIZED: 401,
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RefusalMaker:
-    """Make the responses that tell callers why they get no answer."""
+    """Create responses that state why a request is refused."""
 
     border: Border
 
     def make(
         self, refusal: Refusal, request: CallerRequest | None, *, close: bool = False
     ) -> web.Response:
-        """Return the response of a refusal."""
+        """Return the response for a refusal."""
         response = web.json_response(
             {
                 "reason": refusal.reason.value,
--- a/trefoilstage/components/forwarding/border.py
+++ b/trefoilstage/components/forwarding/border.py
@@ -1,4 +1,4 @@
-"""Define how requests and answers look to the pipeline at its borders."""
+"""Define the interface that translates requests and answers from and to HTTP."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -9,12 +9,12 @@
 
 
 class MalformedRequestError(TrefoilstageError):
-    """Report a caller's request that can't be read."""
+    """Raised when a caller's request is malformed."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ForwardOptions:
-    """Hold what this system adds to a request for a target."""
+    """Describe the values that are added to a request to a target."""
 
     workspace: str
     deadline_s: float | None
@@ -24,40 +24,43 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AnswerHead:
-    """Hold what the head of a target's answer says."""
+    """Describe the status line and headers of a target's answer."""
 
     status: int
-    not_run: bool  # the target says that it did not run the request
-    misdirected: bool  # another target has the address now
+    not_run: bool  # the target states that it did not run the request
+    misdirected: bool  # the address now belongs to another target
     signed: bool
-    own: bool  # the answer names this request
-    named: bool  # the answer names some request
+    own: bool  # the answer carries the id of this request
+    named: bool  # the answer carries the id of a request
     encoded: bool
     closing: bool
 
     @property
     def success(self) -> bool:
-        """Tell whether the target claims success."""
+        """Return whether the status reports success."""
         return 200 <= self.status < 300
 
     @property
     def own_or_unnamed(self) -> bool:
-        """Tell whether the answer does not name another request."""
+        """Return whether the answer carries no id of another request."""
         return self.own or not self.named
 
     @property
     def trusted(self) -> bool:
-        """Tell whether the answer is the target's answer to this request."""
+        """Return whether the answer is verified as the target's for this request."""
         return self.signed and self.own and not self.encoded
 
 
 class Border(Protocol):
-    """Translate requests and answers; one implementation a protocol."""
+    """Translate requests and answers; each wire protocol has one implementation."""
 
     def read_request(
         self, *, method: str, raw_target: str, headers: Iterable[tuple[str, str]]
     ) -> CallerRequest:
-        """Return a caller's request, or raise MalformedRequestError."""
+        """Return a caller's request.
+
+        Raises MalformedRequestError if the request is malformed.
+        """
 
     def write_request(
         self, request: CallerRequest, target: TargetEntry, options: ForwardOptions
@@ -67,10 +70,10 @@
     def read_answer(
         self, request: CallerRequest, status: int, headers: Mapping[str, str]
     ) -> AnswerHead:
-        """Return what an answer's head says."""
+        """Return the parsed head of a target's answer."""
 
     def write_answer(self, headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-        """Return the headers of a target's answer that go on to the caller."""
+        """Return the headers of a target's answer that are passed to the caller."""
 
     def write_refusal(self, request: CallerRequest | None) -> list[tuple[str, str]]:
-        """Return the headers that name the request in an answer of our own."""
+        """Return the headers that identify the request in a refusal."""
--- a/trefoilstage/components/forwarding/events.py
+++ b/trefoilstage/components/forwarding/events.py
@@ -1,4 +1,4 @@
-"""Split an event stream into whole events; pure."""
+"""Split a server-sent event stream into complete events; pure."""
 
 from dataclasses import dataclass
 
@@ -11,41 +11,41 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StreamEvent:
-    """Hold the bytes of one event with its separator, and its id if it has one."""
+    """Represent one event with its trailing separator, and its id if it has one."""
 
     data: bytes
-    number: int | None
+    event_id: int | None
 
 
 class EventSplitter:
-    """Gather the bytes of a stream and give out whole events.
+    """Buffer the bytes of a stream and return complete events.
 
-    A target may stop in the middle of an event. If that part went on to the
-    caller, a resumed stream would join two halves of different runs.
+    A target may stop in the middle of an event. If the partial event were passed on, a
+    resumed stream would join two halves of different runs.
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._partial = b""
 
     @property
-    def has_rest(self) -> bool:
-        """Tell whether an event has begun that is not complete."""
-        return bool(self._rest.strip())
+    def has_partial_event(self) -> bool:
+        """Return whether the buffer contains an incomplete event."""
+        return bool(self._partial.strip())
 
     def add(self, data: bytes) -> list[StreamEvent]:
-        """Return the events that are complete now."""
-        self._rest += data
+        """Add bytes and return the events that they complete."""
+        self._partial += data
         events: list[StreamEvent] = []
-        while (end := find_end(self._rest)) > 0:
-            events.append(make_event(self._rest[:end]))
-            self._rest = self._rest[end:]
-        if len(self._rest) > MAX_EVENT_BYTES:
-            raise MalformedMessageError(f"an event is over {MAX_EVENT_BYTES} bytes")
+        while (end := find_end(self._partial)) > 0:
+            events.append(make_event(self._partial[:end]))
+            self._partial = self._partial[end:]
+        if len(self._partial) > MAX_EVENT_BYTES:
+            raise MalformedMessageError(f"event exceeds {MAX_EVENT_BYTES} bytes")
         return events
 
 
 def find_end(data: bytes) -> int:
-    """Return where the first event ends, 0 if none is complete."""
+    """Return the end position of the first event, 0 if no event is complete."""
     ends = [
         position + len(separator)
         for separator in SEPARATORS
@@ -55,9 +55,11 @@
 
 
 def make_event(data: bytes) -> StreamEvent:
-    """Return an event with its id."""
+    """Return an event with its parsed id."""
     for line in data.splitlines():
         if line.startswith(ID_FIELD):
             text = line[len(ID_FIELD) :].strip()
-            return StreamEvent(data=data, number=int(text) if text.isdigit() else None)
-    return StreamEvent(data=data, number=None)
+            return StreamEvent(
+                data=data, event_id=int(text) if text.isdigit() else None
+            )
+    return StreamEvent(data=data, event_id=None)
--- a/trefoilstage/components/forwarding/heard_work.py
+++ b/trefoilstage/components/forwarding/heard_work.py
@@ -1,73 +1,75 @@
-"""Keep what other hosts have under way at targets, for as long as it holds; pure."""
+"""Store the work of peer hosts at the targets until it expires; pure."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
 from trefoilstage.components.forwarding.work import Work
 
-# A host that is silent this long is taken to have nothing under way.
-MAX_AGE_S = 1.5
-# What was asked for one request serves those that come just after it.
-TOTALS_AGE_S = 0.2
+# A host that has not reported for this long is assumed to have no work in progress.
+MAX_REPORT_AGE_S = 1.5
+# The totals queried for one request are reused for the requests just after it.
+MAX_TOTALS_AGE_S = 0.2
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Heard:
-    """Hold work by target as it was heard at a moment."""
+class ReceivedReport:
+    """Describe a host's work by target and when its report arrived."""
 
     work: Mapping[str, Work]
-    at: float
+    received_at: float
 
 
 @dataclass(kw_only=True, slots=True)
-class HeardWork:
-    """Hold the latest report of each host."""
+class PeerWork:
+    """Store the latest report of each host."""
 
-    reports: dict[str, Heard] = field(default_factory=dict)
+    reports: dict[str, ReceivedReport] = field(default_factory=dict)
 
-    def take(self, host: str, work: Mapping[str, Work], now: float) -> None:
-        """Take in a host's report in place of its last."""
-        self.reports[host] = Heard(work=work, at=now)
+    def receive_report(self, host: str, work: Mapping[str, Work], now: float) -> None:
+        """Replace the previous report of a host."""
+        self.reports[host] = ReceivedReport(work=work, received_at=now)
 
-    def list_work(self, target: str, now: float, without: str = "") -> list[Work]:
-        """Return what hosts have at a target, but for one of them."""
+    def list_work(self, target: str, now: float, except_host: str = "") -> list[Work]:
+        """Return the work at a target by host, without one of the hosts."""
         return [
-            heard.work[target]
-            for host, heard in self.reports.items()
-            if target in heard.work and now - heard.at <= MAX_AGE_S and host != without
+            report.work[target]
+            for host, report in self.reports.items()
+            if target in report.work
+            and now - report.received_at <= MAX_REPORT_AGE_S
+            and host != except_host
         ]
 
-    def forget_old(self, now: float) -> None:
-        """Forget reports that no longer hold; a replaced host has another name."""
+    def remove_expired(self, now: float) -> None:
+        """Remove expired reports, such as those of replaced hosts."""
         self.reports = {
-            host: heard
-            for host, heard in self.reports.items()
-            if now - heard.at <= MAX_AGE_S
+            host: report
+            for host, report in self.reports.items()
+            if now - report.received_at <= MAX_REPORT_AGE_S
         }
 
 
 @dataclass(kw_only=True, slots=True)
-class AskedWork:
-    """Hold the totals that were asked for, by target."""
+class HomeTotals:
+    """Store the totals by target that home hosts returned."""
 
     totals: dict[str, Work] = field(default_factory=dict)
-    asked_at: dict[str, float] = field(default_factory=dict)
+    received_at: dict[str, float] = field(default_factory=dict)
 
-    def take(self, totals: Mapping[str, Work], now: float) -> None:
-        """Take in the answer of a host that gathers some targets' work."""
+    def receive_totals(self, totals: Mapping[str, Work], now: float) -> None:
+        """Store the totals that the home host of some targets returned."""
         self.totals.update(totals)
-        self.asked_at.update(dict.fromkeys(totals, now))
+        self.received_at.update(dict.fromkeys(totals, now))
 
     def list_work(self, target: str, now: float) -> list[Work]:
-        """Return the total at a target, nothing if it is too old."""
-        asked_at = self.asked_at.get(target)
-        if asked_at is None or now - asked_at > TOTALS_AGE_S:
+        """Return the total at a target, an empty list if it is too old."""
+        received_at = self.received_at.get(target)
+        if received_at is None or now - received_at > MAX_TOTALS_AGE_S:
             return []
         return [self.totals[target]]
 
-    def forget_old(self, now: float) -> None:
-        """Forget totals that no longer hold; a restarted target has another name."""
-        for target, asked_at in list(self.asked_at.items()):
-            if now - asked_at > TOTALS_AGE_S:
-                del self.asked_at[target]
+    def remove_expired(self, now: float) -> None:
+        """Remove expired totals, such as those of restarted targets."""
+        for target, received_at in list(self.received_at.items()):
+            if now - received_at > MAX_TOTALS_AGE_S:
+                del self.received_at[target]
                 del self.totals[target]
--- a/trefoilstage/components/forwarding/messages.py
+++ b/trefoilstage/components/forwarding/messages.py
@@ -1,17 +1,17 @@
-"""Define the message about work under way."""
+"""Define the messages about work in progress at the targets."""
 
 from dataclasses import dataclass, field
 from typing import Literal
 
 from trefoilstage.components.forwarding.models import PromptPart
-from trefoilstage.components.forwarding.reading_pace import Reading
+from trefoilstage.components.forwarding.reading_pace import PrefillTotals
 from trefoilstage.components.forwarding.work import Work
 from trefoilstage.helpers.fields import Count, Name
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ReadPrompt:
-    """Tell that a target reads a prompt, and how many tokens it has room for."""
+class CachedPrompt:
+    """Report that a target processes a prompt, and its KV cache size in tokens."""
 
     target: Name
     kv_tokens: Count
@@ -20,20 +20,22 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WorkReport:
-    """Tell what a host has under way at each target, and what it sent since last."""
+    """Report a host's work at each target and its prompts since the last report."""
 
     host: Name
     work: dict[Name, Work]
-    readings: dict[Name, Reading] = field(default_factory=dict)  # new ones only
-    prompts: tuple[ReadPrompt, ...] = ()
+    readings: dict[Name, PrefillTotals] = field(
+        default_factory=dict
+    )  # changed ones only
+    prompts: tuple[CachedPrompt, ...] = ()
     kind: Literal["work_report"] = "work_report"
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class AskWork:
-    """Ask the host that gathers some targets' work for what the others have there.
+class WorkQuery:
+    """Query the home host of some targets for the other hosts' work there.
 
-    It also tells how much of a prompt each target has in memory.
+    The reply also contains how many tokens of a prompt each target has cached.
     """
 
     host: Name
@@ -44,12 +46,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WorkTotals:
-    """Answer with the work of all hosts but the asking one, by target."""
+    """Return the work of all hosts except the querying one, by target."""
 
     work: dict[Name, Work]
-    kept: dict[Name, Count] = field(default_factory=dict)  # tokens of the prompt
-    readings: dict[Name, Reading] = field(default_factory=dict)
+    kept: dict[Name, Count] = field(default_factory=dict)  # cached tokens of the prompt
+    readings: dict[Name, PrefillTotals] = field(default_factory=dict)
     kind: Literal["work_totals"] = "work_totals"
 
 
-WorkMessage = WorkReport | AskWork | WorkTotals
+WorkMessage = WorkReport | WorkQuery | WorkTotals
--- a/trefoilstage/components/forwarding/models.py
+++ b/trefoilstage/components/forwarding/models.py
@@ -1,4 +1,4 @@
-"""Define what the forwarding pipeline works on."""
+"""Define the data models of the forwarding pipeline."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -6,7 +6,7 @@
 
 
 class RouteKind(StrEnum):
-    """Name what may be repeated on a route."""
+    """Describe whether requests on a route may be sent again."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServiceShare:
-    """Hold the share of a route's requests that a service gets."""
+    """Describe the share of a route's requests that a service receives."""
 
     service: str
     weight: float
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Route:
-    """Describe where requests of a host and path prefix go."""
+    """Describe how requests with a host name and path prefix are forwarded."""
 
     name: str
     host: str
@@ -37,11 +37,11 @@
     public: bool
     resumable: bool
     gap_objective_s: float = 0.0  # longest pause between events that is on time
-    silence_limit_s: float = 2.0  # callers give up when they hear nothing for longer
+    silence_limit_s: float = 2.0  # callers give up after a longer time without data
 
     @property
     def is_repeatable(self) -> bool:
-        """Tell whether a request that may have run may be sent again."""
+        """Return whether a request that may have run may be sent again."""
         return self.kind is RouteKind.IDEMPOTENT or (
             self.kind is RouteKind.STREAM and self.resumable
         )
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ServiceConfig:
-    """Describe a service that requests may go to."""
+    """Describe a service that receives requests."""
 
     name: str
     health_path: str
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallerLimits:
-    """Bound what a caller may send and how long it may stay idle."""
+    """Limit the body size and idle time of callers."""
 
     max_body_bytes: int = 4_194_304
     idle_timeout_s: float = 15.0
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class FleetConfiguration:
-    """Hold one accepted version of the operators' configuration."""
+    """Represent one accepted version of the operators' configuration."""
 
     version: int = 0
     routes: tuple[Route, ...] = ()
@@ -96,7 +96,7 @@
 
 
 class TargetPhase(StrEnum):
-    """Name the stages of a target's registration."""
+    """Enumerate the phases of a registered target."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -106,26 +106,26 @@
 class TargetEntry:
     """Describe one incarnation of a registered target."""
 
-    name: str  # the identity that the target checks on each request
+    name: str  # the target verifies it on each request
     service: str
     address: str
     data_center: str
     slots: int
     phase: TargetPhase
-    started_ms: int = 0  # Unix time of its start by its own clock, 0 if it tells none
+    started_ms: int = 0  # Unix time of its start by its own clock, 0 if unknown
 
     @property
     def incarnation(self) -> str:
-        """Return the name that a restart changes, where `name` stays the same.
+        """Return an id that changes with each restart, while `name` stays the same.
 
-        A restarted target has lost its work, its prompts and whatever made it fail.
+        A restart clears a target's work, its cached prompts and its failures.
         """
         return f"{self.name}@{self.started_ms}"
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PromptPart:
-    """Name a part of a prompt that other requests may share."""
+    """Identify a part of a prompt that other requests may share."""
 
     name: str
     n_tokens: int
@@ -133,7 +133,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallerRequest:
-    """Hold what a caller asks for, decoded."""
+    """Represent a caller's decoded request."""
 
     request: str
     method: str
@@ -145,9 +145,9 @@
     n_prompt_tokens: int
     max_output_tokens: int
     prompt: tuple[PromptPart, ...]
-    headers: tuple[tuple[str, str], ...]  # those that go on to the target
+    headers: tuple[tuple[str, str], ...]  # those passed on to the target
 
     @property
     def max_tokens(self) -> int:
-        """Return the most that the request can spend."""
+        """Return the highest number of tokens that the request can spend."""
         return self.n_prompt_tokens + self.max_output_tokens
--- a/trefoilstage/components/forwarding/pipeline.py
+++ b/trefoilstage/components/forwarding/pipeline.py
@@ -1,4 +1,8 @@
-"""Forward one request: hold its tokens, place it, send it, relay, settle."""
+"""Forward one request: hold tokens, choose a target, send, relay, settle.
+
+A hold reserves the most tokens that the request can spend; settling bills the tokens
+it spent and releases the rest.
+"""
 
 import asyncio
 import itertools
@@ -39,7 +43,7 @@
 
 
 class ForwardingPipeline:
-    """Bring requests to targets and their answers to callers."""
+    """Send requests to targets and relay their answers to callers."""
 
     def __init__(
         self,
@@ -58,42 +62,42 @@
         self._crashes = crashes
         self._generator = generator
         self._answers = AnswerRelay(board=board)
-        self._numbers = itertools.count()
+        self._hold_numbers = itertools.count()
 
     async def run(self, run: Run, reply: CallerReply) -> Refusal | None:
-        """Answer a caller; return why it gets no answer, None once it has it."""
+        """Answer a caller; return a refusal if it got no answer, otherwise None."""
         if run.started >= run.deadline:
             return Refusal(reason=Reason.DEADLINE)
         blocked = self._crashes.check(run.fingerprint)
         if blocked is not None:
             return blocked
         run.service_name = self._pick_service(run.route)
-        # Asked beside the hold: both take a call, and neither needs the other's answer.
-        survey = asyncio.create_task(self._survey(run))
+        # Runs in parallel to the hold: both take a call and are independent.
+        query = asyncio.create_task(self._query_candidates(run))
         hold: Hold | Refusal | None = None
         try:
             async with asyncio.timeout_at(run.deadline):
-                hold = await self._hold(run)
+                hold = await self._hold_tokens(run)
                 if isinstance(hold, Refusal):
                     return hold
                 run.held_at = asyncio.get_running_loop().time()
-                await survey
-                return await self._deliver(run, reply)
+                await query
+                return await self._send_until_answered(run, reply)
         except TimeoutError:
-            return self._refuse_late(run)
+            return self._make_deadline_refusal(run)
         finally:
-            survey.cancel()
+            query.cancel()
             if isinstance(hold, Hold):
                 self._escrow.settle(hold, run.count_spent())
-                self._log_end(run, hold)
+                self._log_done(run, hold)
 
-    async def _survey(self, run: Run) -> None:
-        run.survey = await self._chooser.refresh(
-            run.service_name, self._find_need(run), run.request.prompt
+    async def _query_candidates(self, run: Run) -> None:
+        run.candidate_info = await self._chooser.query_candidates(
+            run.service_name, self._make_prompt_need(run), run.request.prompt
         )
-        run.surveyed_at = asyncio.get_running_loop().time()
+        run.candidates_queried_at = asyncio.get_running_loop().time()
 
-    async def _hold(self, run: Run) -> Hold | Refusal:
+    async def _hold_tokens(self, run: Run) -> Hold | Refusal:
         patience = Patience.start(
             now=run.started,
             silence_s=run.route.silence_limit_s,
@@ -101,18 +105,18 @@
         )
         return await self._escrow.hold(
             run.workspace_name,
-            self._name_hold(run),
+            self._make_hold_name(run),
             run.request.max_tokens,
             patience,
         )
 
-    def _name_hold(self, run: Run) -> str:
-        # A caller that sent two requests under one id would get the second one's
-        # tokens from the first one's hold, and both would be spent.
-        number = next(self._numbers)
+    def _make_hold_name(self, run: Run) -> str:
+        # A number keeps holds apart if a caller sends two requests with the same id.
+        # Otherwise the second request would spend the tokens held for the first.
+        number = next(self._hold_numbers)
         return f"{run.request.request}/{self._board.host}/{number}"
 
-    def _log_end(self, run: Run, hold: Hold) -> None:
+    def _log_done(self, run: Run, hold: Hold) -> None:
         log_event(
             Event.REQUEST_DONE,
             request=run.request.request,
@@ -127,31 +131,34 @@
             target=run.target,
             body_s=run.body_s,
             hold_s=run.held_at - run.started,
-            first_s=max(0.0, run.first_at - run.started),
+            first_s=max(0.0, run.caller_first_data_at - run.started),
             gap_s=run.longest_gap_s,
             duration_s=asyncio.get_running_loop().time() - run.started,
         )
 
-    def _refuse_late(self, run: Run) -> Refusal:
-        if run.n_runs == 0:
+    def _make_deadline_refusal(self, run: Run) -> Refusal:
+        if run.n_possible_runs == 0:
             return Refusal(reason=Reason.DEADLINE, retry_after_s=RETRY_AFTER_S)
         return Refusal(reason=Reason.DEADLINE, effect=Effect.UNKNOWN)
 
-    async def _deliver(self, run: Run, reply: CallerReply) -> Refusal | None:
+    async def _send_until_answered(
+        self, run: Run, reply: CallerReply
+    ) -> Refusal | None:
         service = run.service_name
         configuration = self._board.configuration
         if service and configuration:
             run.service = configuration.services.get(service)
-        self._chooser.note_request(service)
+        self._chooser.count_request(service)
         failure = NO_TARGET
         while True:
-            if self._chooser.should_ask_again(run.surveyed_at):
-                await self._survey(run)
-            # A target may have ended under it, here or elsewhere, since it came.
+            if self._chooser.should_query_again(run.candidates_queried_at):
+                await self._query_candidates(run)
+            # The request may have crashed a target since it arrived, sent by this or
+            # another host.
             blocked = self._crashes.check(run.fingerprint)
             if blocked is not None:
-                return failure if run.n_runs else blocked
-            target = self._choose(run, service)
+                return failure if run.n_possible_runs else blocked
+            target = self._choose_target(run, service)
             if target is None:
                 return failure
             answer = await self._send(run, service, target)
@@ -161,7 +168,7 @@
                 failure = make_failure("the answer broke off")
             elif isinstance(answer, Broken):
                 failure = make_failure(answer.reason)
-            if not self._may_repeat(run, service, answer):
+            if not self._may_retry(run, service, answer):
                 return failure
 
     def _pick_service(self, route: Route) -> str:
@@ -172,17 +179,17 @@
             return ""
         return self._generator.choices(route.shares, weights=weights)[0].service
 
-    def _choose(self, run: Run, service: str) -> TargetEntry | None:
+    def _choose_target(self, run: Run, service: str) -> TargetEntry | None:
         return self._chooser.choose(
             service=service,
             excluded=run.excluded,
-            need=self._find_need(run),
+            need=self._make_prompt_need(run),
             prompt=run.request.prompt,
-            survey=run.survey,
+            candidate_info=run.candidate_info,
             request=run.request.request,
         )
 
-    def _find_need(self, run: Run) -> PromptNeed | None:
+    def _make_prompt_need(self, run: Run) -> PromptNeed | None:
         if not run.request.prompt:
             return None
         waited_s = asyncio.get_running_loop().time() - run.started
@@ -204,10 +211,10 @@
             workspace=run.workspace_name,
             deadline_s=run.deadline - now,
             urgency=min(MAX_URGENCY, max(0, priority)) if run.request.prompt else None,
-            resume_after=run.last_event,
+            resume_after=run.last_event_id,
         )
-        run.note_sent(target.name)
-        sent = self._chooser.note_start(target, run.request.prompt, run.survey)
+        run.record_send(target.name)
+        sent = self._chooser.add_request(target, run.request.prompt, run.candidate_info)
         log_event(
             Event.REQUEST_SENT,
             request=run.request.request,
@@ -216,77 +223,77 @@
             service=service,
             attempt=run.n_sends,
             fingerprint=run.fingerprint,
-            unread=sent.n_unread,
-            ahead=sent.n_ahead,
+            unread=sent.n_uncached_tokens,
+            ahead=sent.n_queued_tokens,
         )
         try:
             answer = await self._sender.send(run.request, run.body, target, options)
         except BaseException:
-            self._chooser.note_unread(target, sent)
-            self._chooser.note_end(target, run.request.prompt)
-            self._note_left(run, target)
+            self._chooser.remove_pending_prefill(target, sent)
+            self._chooser.remove_request(target, run.request.prompt)
+            self._record_cancelled(run, target)
             raise
         if isinstance(answer, OpenAnswer) and answer.head.success:
-            # A target sends the head of a stream with its first token.
-            self._chooser.note_first_token(target, sent)
+            # A target sends the head of a stream together with the first token.
+            self._chooser.record_first_token(target, sent)
         else:
-            # A target that fails at once read nothing. Counted as a reading, it made
-            # the target look the fastest, and prompts went there to fail.
-            self._chooser.note_unread(target, sent)
+            # A failed request is no prefill sample: counted as one, a fast failure made
+            # the target look the fastest, and it attracted more prompts.
+            self._chooser.remove_pending_prefill(target, sent)
         if not isinstance(answer, OpenAnswer):
-            self._chooser.note_end(target, run.request.prompt)
+            self._chooser.remove_request(target, run.request.prompt)
             if not (isinstance(answer, NotSent) and answer.stalled):
                 run.excluded.add(target.incarnation)
         if isinstance(answer, NotSent):
-            run.n_runs -= 1
+            run.n_possible_runs -= 1
         elif isinstance(answer, Broken):
-            self._note_broken(run, target, answer.reason)
+            self._record_broken(run, target, answer.reason)
         else:
-            run.note_target_data(asyncio.get_running_loop().time())
-        self._chooser.note_answer(target, answer)
+            run.record_target_data(asyncio.get_running_loop().time())
+        self._chooser.record_answer(target, answer)
         return answer
 
-    def _may_repeat(
+    def _may_retry(
         self, run: Run, service: str, answer: OpenAnswer | NotSent | Broken
     ) -> bool:
-        if run.n_runs and not run.route.is_repeatable:
+        if run.n_possible_runs and not run.route.is_repeatable:
             return False
-        if run.n_runs >= run.route.max_attempts:
+        if run.n_possible_runs >= run.route.max_attempts:
             return False
         if isinstance(answer, NotSent) and (answer.unreachable or answer.stalled):
-            # It put no load on a target. Counted as a repeat, requests were refused
-            # after a few targets had gone dark, though the others were well.
+            # The send put no load on a target. When it counted as a retry, requests
+            # were refused after a few targets failed, although the others were fine.
             return True
-        return self._chooser.take_repeat(service)
+        return self._chooser.take_retry(service)
 
     async def _relay(
         self, run: Run, reply: CallerReply, answer: OpenAnswer, target: TargetEntry
     ) -> bool:
-        """Tell whether the caller got the answer; if not, another target may do."""
+        """Return whether the caller got the answer; if not, a retry is possible."""
         try:
-            if not answer.head.success and self._is_worth_repeating(
+            if not answer.head.success and self._should_retry_failure(
                 run, reply, answer, target
             ):
-                # Chosen again, the target would mostly fail again.
+                # The target would most likely fail again.
                 run.excluded.add(target.incarnation)
                 return False
             await self._answers.relay(run, reply, answer)
         except (AnswerBrokenError, MalformedMessageError) as error:
-            self._chooser.note_broken(target)
+            self._chooser.record_broken_answer(target)
             run.excluded.add(target.incarnation)
-            self._note_broken(run, target, str(error))
+            self._record_broken(run, target, str(error))
             return False
         except asyncio.CancelledError:
-            self._note_left(run, target)
+            self._record_cancelled(run, target)
             raise
         finally:
             answer.close()
-            self._chooser.note_end(target, run.request.prompt)
+            self._chooser.remove_request(target, run.request.prompt)
         if answer.head.success:
             self._crashes.note_sound(run.fingerprint)
         return True
 
-    def _note_broken(self, run: Run, target: TargetEntry, error: str) -> None:
+    def _record_broken(self, run: Run, target: TargetEntry, error: str) -> None:
         log_event(
             Event.ANSWER_BROKEN,
             request=run.request.request,
@@ -304,7 +311,7 @@
             progress_s=run.progress_s,
         )
 
-    def _note_left(self, run: Run, target: TargetEntry) -> None:
+    def _record_cancelled(self, run: Run, target: TargetEntry) -> None:
         self._crashes.note_left(
             run.fingerprint,
             target=target.incarnation,
@@ -312,21 +319,21 @@
             progress_s=run.progress_s,
         )
 
-    def _is_worth_repeating(
+    def _should_retry_failure(
         self, run: Run, reply: CallerReply, answer: OpenAnswer, target: TargetEntry
     ) -> bool:
         if reply.is_open:
-            # With part of a stream out, the head of a failure can't follow it.
+            # Part of a stream was sent, so the head of a failure cannot be sent.
             return True
         if not run.route.is_repeatable:
             return False
-        if answer.head.status < 500 or run.n_runs >= run.route.max_attempts:
+        if answer.head.status < 500 or run.n_possible_runs >= run.route.max_attempts:
             return False
-        # Without another target, the caller gets this one's failure.
+        # Without another target, the caller gets this target's failure.
         tried = run.excluded | {target.incarnation}
-        return self._chooser.has_other(run.service_name, tried)
+        return self._chooser.has_other_target(run.service_name, tried)
 
 
 def make_failure(detail: str) -> Refusal:
-    """Return the refusal of a request that a target may have run."""
+    """Return the refusal for a request that a target may have run."""
     return Refusal(reason=Reason.TARGET_FAILED, effect=Effect.UNKNOWN, detail=detail)
--- a/trefoilstage/components/forwarding/reading_board.py
+++ b/trefoilstage/components/forwarding/reading_board.py
@@ -1,81 +1,88 @@
-"""Hold the paces of targets, as this host and its peers observed them; pure."""
+"""Combine the prefill speeds that this host and its peers observed; pure."""
 
 from collections import defaultdict
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
 from trefoilstage.components.forwarding.reading_pace import (
-    FIRST_TOKENS_PER_S,
-    Reading,
-    ReadingPace,
-    add_up,
-    estimate_fleet_pace,
-    estimate_pace,
+    DEFAULT_TOKENS_PER_S,
+    DecayingTotals,
+    PrefillTotals,
+    estimate_fleet_speed,
+    estimate_speed,
+    sum_totals,
 )
 
-# Its decayed sums are worth nothing long before.
-MAX_SOURCES = 500
-# The mean of all targets changes slowly, and to sum it up for each choice would cost a
-# host of 90 before 70 targets more than the request itself.
-FLEET_AGE_S = 0.5
+# Peers beyond this number are dropped, the oldest first. Their totals have decayed to
+# almost nothing long before.
+MAX_PEERS = 500
+# The mean of all targets changes slowly. Computing it for each choice would cost a host
+# in a fleet of 90 hosts and 70 targets more than the request itself.
+MAX_FLEET_SPEED_AGE_S = 0.5
 
 
 @dataclass(kw_only=True, slots=True)
-class ReadingBoard:
-    """Sum up readings by target, over all hosts that tell of theirs."""
+class SharedPrefillSpeeds:
+    """Sum up prefill samples by target, over this host and its reporting peers."""
 
-    own: dict[str, ReadingPace] = field(
-        default_factory=lambda: defaultdict(ReadingPace)
+    own: dict[str, DecayingTotals] = field(
+        default_factory=lambda: defaultdict(DecayingTotals)
     )
-    others: dict[str, dict[str, ReadingPace]] = field(default_factory=dict)
-    changed: set[str] = field(default_factory=set)  # own, since they were told last
-    fleet_pace: float = FIRST_TOKENS_PER_S
-    fleet_at: float = float("-inf")
+    peers: dict[str, dict[str, DecayingTotals]] = field(default_factory=dict)
+    changed: set[str] = field(default_factory=set)  # targets with unreported samples
+    fleet_speed: float = DEFAULT_TOKENS_PER_S
+    fleet_speed_at: float = float("-inf")
 
-    def note(self, target: str, n_tokens: int, seconds: float, now: float) -> None:
-        """Count a reading that this host observed."""
-        self.own[target].note(n_tokens, seconds, now)
+    def add_sample(
+        self, target: str, n_tokens: int, seconds: float, now: float
+    ) -> None:
+        """Add a prefill that this host observed."""
+        self.own[target].add_sample(n_tokens, seconds, now)
         self.changed.add(target)
 
-    def take_new(self, now: float) -> dict[str, Reading]:
-        """Return the own readings that changed since the last call."""
+    def pop_changed(self, now: float) -> dict[str, PrefillTotals]:
+        """Return this host's totals that changed since the last call."""
         changed, self.changed = self.changed, set()
         return {name: self.own[name].get(now) for name in changed if name in self.own}
 
-    def take(self, host: str, readings: Mapping[str, Reading], now: float) -> None:
-        """Take in the sums that a peer tells."""
-        if host not in self.others and len(self.others) >= MAX_SOURCES:
-            del self.others[next(iter(self.others))]
-        known = self.others.setdefault(host, {})
-        for target, reading in readings.items():
-            known[target] = ReadingPace(
-                tokens=reading.tokens, seconds=reading.seconds, at=now
+    def receive_totals(
+        self, host: str, totals: Mapping[str, PrefillTotals], now: float
+    ) -> None:
+        """Store the totals that a peer reported."""
+        if host not in self.peers and len(self.peers) >= MAX_PEERS:
+            del self.peers[next(iter(self.peers))]
+        by_target = self.peers.setdefault(host, {})
+        for target, item in totals.items():
+            by_target[target] = DecayingTotals(
+                tokens=item.tokens, seconds=item.seconds, decayed_at=now
             )
 
-    def add_up(self, target: str, now: float, without: str = "") -> Reading:
-        """Return a target's readings by all hosts but one."""
-        paces = [self.own[target]] if target in self.own else []
-        paces += [
-            known[target]
-            for host, known in self.others.items()
-            if target in known and host != without
+    def get_totals(
+        self, target: str, now: float, except_host: str = ""
+    ) -> PrefillTotals:
+        """Return a target's totals over all hosts except one."""
+        known_totals = [self.own[target]] if target in self.own else []
+        known_totals += [
+            by_target[target]
+            for host, by_target in self.peers.items()
+            if target in by_target and host != except_host
         ]
-        return add_up(pace.get(now) for pace in paces)
+        return sum_totals(item.get(now) for item in known_totals)
 
-    def get_pace(self, target: str, now: float) -> float:
-        """Return the tokens a second that a target reads.
+    def get_speed(self, target: str, now: float) -> float:
+        """Return the prefill speed of a target, in tokens per second.
 
-        One that nobody observed yet is taken to be like the others.
+        A target without samples is assumed to have the mean speed of all targets.
         """
-        if now - self.fleet_at >= FLEET_AGE_S:
-            targets = set(self.own).union(*self.others.values())
-            fleet = add_up(self.add_up(name, now) for name in targets)
-            self.fleet_pace = estimate_fleet_pace(fleet)
-            self.fleet_at = now
-        return estimate_pace(self.add_up(target, now), self.fleet_pace)
+        if now - self.fleet_speed_at >= MAX_FLEET_SPEED_AGE_S:
+            targets = set(self.own).union(*self.peers.values())
+            fleet = sum_totals(self.get_totals(name, now) for name in targets)
+            self.fleet_speed = estimate_fleet_speed(fleet)
+            self.fleet_speed_at = now
+        return estimate_speed(self.get_totals(target, now), self.fleet_speed)
 
-    def forget_others(self, targets: Collection[str]) -> None:
-        """Forget all targets but some; a restarted one may be of another speed."""
-        for known in (self.own, *self.others.values()):
-            for target in set(known).difference(targets):
-                del known[target]
+    def keep_only(self, targets: Collection[str]) -> None:
+        """Remove all other targets; a restarted target may have another speed."""
+        for by_target in (self.own, *self.peers.values()):
+            for target in set(by_target).difference(targets):
+                del by_target[target]
--- a/trefoilstage/components/forwarding/relay.py
+++ b/trefoilstage/components/forwarding/relay.py
@@ -13,13 +13,17 @@
 
 
 class AnswerRelay:
-    """Pass on whole bodies at once, and streams event by event."""
+    """Pass on plain bodies as a whole, and streams event by event."""
 
     def __init__(self, *, board: FleetBoard) -> None:
         self._board = board
 
     async def relay(self, run: Run, reply: CallerReply, answer: OpenAnswer) -> None:
-        """Pass an answer on, or raise AnswerBrokenError or MalformedMessageError."""
+        """Pass on an answer.
+
+        Raises AnswerBrokenError if the answer is incomplete, MalformedMessageError if
+        its events are malformed or out of order.
+        """
         if run.route.kind is RouteKind.STREAM and answer.head.success:
             await self._relay_stream(run, reply, answer)
         else:
@@ -28,8 +32,8 @@
     async def _relay_body(
         self, run: Run, reply: CallerReply, answer: OpenAnswer
     ) -> None:
-        # Read whole before the first byte goes on: if it breaks off, a request
-        # that may be repeated still can be.
+        # Read completely before the first byte is passed on, so that a repeatable
+        # request can still be sent again if the answer breaks off.
         parts = [data async for data in answer.read()]
         run.complete = True
         reply.set_whole(
@@ -44,44 +48,44 @@
     ) -> None:
         splitter = EventSplitter()
         async for data in answer.read():
-            run.note_target_data(asyncio.get_running_loop().time())
-            events = self._take_new(run, splitter.add(data))
+            run.record_target_data(asyncio.get_running_loop().time())
+            events = self._select_new(run, splitter.add(data))
             if not events:
                 continue
-            await self._open(reply, answer)
-            run.note_data(asyncio.get_running_loop().time())
+            await self._open_reply(reply, answer)
+            run.record_caller_data(asyncio.get_running_loop().time())
             await reply.write(b"".join(event.data for event in events))
-        if splitter.has_rest:
-            raise AnswerBrokenError("the stream ended within an event")
-        await self._open(reply, answer)
+        if splitter.has_partial_event:
+            raise AnswerBrokenError("the stream ended in the middle of an event")
+        await self._open_reply(reply, answer)
         run.complete = True
         await reply.end()
 
-    def _take_new(self, run: Run, events: list[StreamEvent]) -> list[StreamEvent]:
-        """Return the events that the caller does not have; count them."""
-        fresh: list[StreamEvent] = []
+    def _select_new(self, run: Run, events: list[StreamEvent]) -> list[StreamEvent]:
+        """Return and count the events that the caller has not received yet."""
+        new_events: list[StreamEvent] = []
         for event in events:
-            if event.number is not None and run.last_event is not None:
-                if event.number <= run.last_event:
+            if event.event_id is not None and run.last_event_id is not None:
+                if event.event_id <= run.last_event_id:
                     continue
-                if event.number != run.last_event + 1:
+                if event.event_id != run.last_event_id + 1:
                     raise MalformedMessageError(
-                        f"event {event.number} follows {run.last_event}"
+                        f"event {event.event_id} follows event {run.last_event_id}"
                     )
-            if event.number is not None:
-                run.last_event = event.number
+            if event.event_id is not None:
+                run.last_event_id = event.event_id
             run.n_events += 1
-            fresh.append(event)
-        return fresh
+            new_events.append(event)
+        return new_events
 
-    async def _open(self, reply: CallerReply, answer: OpenAnswer) -> None:
+    async def _open_reply(self, reply: CallerReply, answer: OpenAnswer) -> None:
         if not reply.is_open:
             await reply.open(
                 answer.head.status, answer.headers, close=self._is_closing()
             )
 
     def _is_closing(self) -> bool:
-        """Tell whether callers are to open their next connection elsewhere."""
+        """Return whether callers should open their next connection to another host."""
         if self._board.phase is Phase.DRAINING:
             return True
         return self._board.sends_elsewhere(asyncio.get_running_loop().time())
--- a/trefoilstage/components/forwarding/reply.py
+++ b/trefoilstage/components/forwarding/reply.py
@@ -7,16 +7,16 @@
 
 
 class CallerReply(Protocol):
-    """Answer one caller, at once or event by event."""
+    """Send the answer to one caller, as a whole or event by event."""
 
     @property
     def is_open(self) -> bool:
-        """Tell whether the head of the answer is out."""
+        """Return whether the head of the answer was sent."""
 
     async def open(
         self, status: int, headers: Sequence[tuple[str, str]], *, close: bool
     ) -> None:
-        """Send the head of a stream; `close` ends the connection after it."""
+        """Send the head of a stream; `close` closes the connection after the answer."""
 
     async def write(self, data: bytes) -> None:
         """Send a part of a stream."""
@@ -32,11 +32,11 @@
         *,
         close: bool,
     ) -> None:
-        """Answer in one piece."""
+        """Set a complete answer."""
 
 
 class WebReply:
-    """Answer one request of the HTTP server."""
+    """Send the answer to one request of the HTTP server."""
 
     def __init__(self, *, web_request: web.BaseRequest) -> None:
         self._web_request = web_request
@@ -45,13 +45,13 @@
 
     @property
     def is_open(self) -> bool:
-        """Tell whether the head of the answer is out."""
+        """Return whether the head of the answer was sent."""
         return self._stream is not None
 
     async def open(
         self, status: int, headers: Sequence[tuple[str, str]], *, close: bool
     ) -> None:
-        """Send the head of a stream; `close` ends the connection after it."""
+        """Send the head of a stream; `close` closes the connection after the answer."""
         stream = web.StreamResponse(status=status)
         set_headers(stream, headers)
         if close:
@@ -77,7 +77,7 @@
         *,
         close: bool,
     ) -> None:
-        """Answer in one piece."""
+        """Set a complete answer."""
         response = web.Response(status=status, body=body)
         set_headers(response, headers)
         if close:
@@ -85,7 +85,7 @@
         self.response = response
 
     def abort(self) -> None:
-        """Close the connection, so that the caller sees that the answer broke off."""
+        """Close the connection, so that the caller detects the incomplete answer."""
         if self._web_request.transport is not None:
             self._web_request.transport.close()
 
@@ -93,7 +93,7 @@
 def set_headers(
     response: web.StreamResponse, headers: Sequence[tuple[str, str]]
 ) -> None:
-    """Set a target's headers, repeated ones among them."""
+    """Set a target's headers, including headers that occur several times."""
     for name, _ in headers:
         response.headers.popall(name, None)
     for name, value in headers:
--- a/trefoilstage/components/forwarding/retries.py
+++ b/trefoilstage/components/forwarding/retries.py
@@ -1,45 +1,45 @@
-"""Keep the fleet's repeated sends within a share of its requests; pure."""
+"""Limit the fleet's retries to a share of its requests; pure."""
 
 from collections import deque
 from dataclasses import dataclass, field
 
-# Shares of what the operators allow. A host counts only what it sends itself,
-# and the hosts of a fleet see uneven shares of the requests, so that the sum of
-# the shares must stay below the whole also when most requests reach few hosts.
+# Shares of the limits that the operators configure. A host counts only its own
+# requests, and requests are spread unevenly over the hosts. The hosts' retries must
+# stay below the limit in total, also when most requests reach few hosts.
 SAFE_RATIO_SHARE = 0.6
 SAFE_SLACK_SHARE = 0.6
 
 
 @dataclass(kw_only=True, slots=True)
 class RetryBudget:
-    """Allow repeats to a service by what was sent to it in a sliding window.
+    """Limit retries to a service by its requests in a sliding window.
 
-    When most targets fail, so that each request would be sent twice, the repeats
-    stop instead of doubling the load that made the targets fail.
+    When most targets fail and every request would be sent twice, the limit prevents
+    the retries from doubling the load on the failing targets.
     """
 
     ratio: float
     slack: float
     window_s: float
     requests: deque[float] = field(default_factory=deque)
-    repeats: deque[float] = field(default_factory=deque)
+    retries: deque[float] = field(default_factory=deque)
 
-    def note_request(self, now: float) -> None:
-        """Count a request that a caller sent."""
+    def count_request(self, now: float) -> None:
+        """Count a request from a caller."""
         self.requests.append(now)
-        self._forget(now)
+        self._remove_expired(now)
 
-    def take(self, now: float, n_hosts: int) -> bool:
-        """Count a repeat if the budget allows it, as one of `n_hosts` hosts."""
-        self._forget(now)
+    def take_retry(self, now: float, n_hosts: int) -> bool:
+        """Return whether one of `n_hosts` hosts may retry, and count the retry."""
+        self._remove_expired(now)
         allowed = SAFE_RATIO_SHARE * self.ratio * len(self.requests)
         allowed += SAFE_SLACK_SHARE * self.slack / max(1, n_hosts)
-        if len(self.repeats) + 1 > allowed:
+        if len(self.retries) + 1 > allowed:
             return False
-        self.repeats.append(now)
+        self.retries.append(now)
         return True
 
-    def _forget(self, now: float) -> None:
-        for times in (self.requests, self.repeats):
+    def _remove_expired(self, now: float) -> None:
+        for times in (self.requests, self.retries):
             while times and times[0] < now - self.window_s:
                 times.popleft()
--- a/trefoilstage/components/forwarding/run.py
+++ b/trefoilstage/components/forwarding/run.py
@@ -1,4 +1,4 @@
-"""Hold what became of one request so far; pure."""
+"""Represent the state of one request while it is forwarded; pure."""
 
 from dataclasses import dataclass, field
 
@@ -9,15 +9,15 @@
     ServiceConfig,
     Workspace,
 )
-from trefoilstage.components.forwarding.placement import Survey
+from trefoilstage.components.forwarding.placement import CandidateInfo
 
-# What a target may have made and sent before it learned that nobody reads.
-UNREAD_EVENTS = 3
+# Events that a target may have sent before it noticed that the connection closed.
+MAX_UNREAD_EVENTS = 3
 
 
 @dataclass(kw_only=True, slots=True)
 class Run:
-    """Hold what became of one request so far."""
+    """Track the progress of one request, over all targets that it is sent to."""
 
     request: CallerRequest
     body: bytes
@@ -25,26 +25,27 @@
     workspace: Workspace | None
     started: float
     deadline: float
-    body_s: float = 0.0  # until its body had arrived
-    n_runs: int = 0  # targets that may have run it
+    body_s: float = 0.0  # until its body arrived
+    n_possible_runs: int = 0  # sends that a target may have run
     n_sends: int = 0
-    excluded: set[str] = field(default_factory=set)  # incarnations that were tried
-    survey: Survey = field(default_factory=Survey)  # of targets for its prompt
-    surveyed_at: float = 0.0
-    last_event: int | None = None
+    excluded: set[str] = field(default_factory=set)  # incarnations not to try again
+    # State of the targets that may get the prompt.
+    candidate_info: CandidateInfo = field(default_factory=CandidateInfo)
+    candidates_queried_at: float = 0.0
+    last_event_id: int | None = None
     n_events: int = 0
     complete: bool = False
     held_at: float = 0.0
-    first_at: float = 0.0
-    last_at: float = 0.0
+    caller_first_data_at: float = 0.0
+    caller_last_data_at: float = 0.0
     longest_gap_s: float = 0.0
     target: str = ""
     service_name: str = ""
     service: ServiceConfig | None = None
-    fingerprint: str = field(init=False)  # the same for all its repeats
-    # When the present target sent data first and last, 0 if it sent none.
-    target_first_at: float = 0.0
-    target_last_at: float = 0.0
+    fingerprint: str = field(init=False)  # the same for all retries
+    # When the current target first and last sent data, 0 if it sent none.
+    target_first_data_at: float = 0.0
+    target_last_data_at: float = 0.0
 
     def __post_init__(self) -> None:
         request = self.request
@@ -58,45 +59,45 @@
 
     @property
     def workspace_name(self) -> str:
-        """Return the workspace that asks, empty on a public route."""
+        """Return the name of the caller's workspace, empty on a public route."""
         return self.workspace.name if self.workspace else ""
 
     @property
     def tokens_per_event(self) -> int:
-        """Return the most tokens that one event holds."""
+        """Return the highest number of tokens in one event."""
         engine = self.service.engine if self.service else None
         return engine.tokens_per_event if engine else 1
 
     @property
     def progress_s(self) -> float:
-        """Return how long the present target has been sending data."""
-        return self.target_last_at - self.target_first_at
+        """Return for how many seconds the current target has been sending data."""
+        return self.target_last_data_at - self.target_first_data_at
 
-    def note_sent(self, target: str) -> None:
-        """Count that the request goes to a target, which may run it."""
+    def record_send(self, target: str) -> None:
+        """Record that the request is sent to a target, which may run it."""
         self.n_sends += 1
-        self.n_runs += 1
+        self.n_possible_runs += 1
         self.target = target
-        self.target_first_at = self.target_last_at = 0.0
+        self.target_first_data_at = self.target_last_data_at = 0.0
 
-    def note_target_data(self, now: float) -> None:
-        """Count when the present target sent the head or a part of its answer."""
-        self.target_first_at = self.target_first_at or now
-        self.target_last_at = now
+    def record_target_data(self, now: float) -> None:
+        """Record when the current target sent the head or a part of its answer."""
+        self.target_first_data_at = self.target_first_data_at or now
+        self.target_last_data_at = now
 
-    def note_data(self, now: float) -> None:
-        """Count when data went on to the caller."""
-        if not self.first_at:
-            self.first_at = now
+    def record_caller_data(self, now: float) -> None:
+        """Record when data was passed on to the caller."""
+        if not self.caller_first_data_at:
+            self.caller_first_data_at = now
         else:
-            self.longest_gap_s = max(self.longest_gap_s, now - self.last_at)
-        self.last_at = now
+            self.longest_gap_s = max(self.longest_gap_s, now - self.caller_last_data_at)
+        self.caller_last_data_at = now
 
     def count_spent(self) -> int:
-        """Return the tokens that the workspace is billed at most."""
-        if self.n_runs == 0:
+        """Return the upper bound of the tokens that the workspace is billed."""
+        if self.n_possible_runs == 0:
             return 0
-        unread = 0 if self.complete else UNREAD_EVENTS
+        unread = 0 if self.complete else MAX_UNREAD_EVENTS
         output = (self.n_events + unread) * self.tokens_per_event
         return self.request.n_prompt_tokens + min(
             self.request.max_output_tokens, output
--- a/trefoilstage/components/forwarding/sender.py
+++ b/trefoilstage/components/forwarding/sender.py
@@ -1,4 +1,4 @@
-"""Send a request to one target and read the head of its answer."""
+"""Send a request to one target and check the head of its answer."""
 
 from collections.abc import AsyncIterator
 from dataclasses import dataclass
@@ -14,19 +14,19 @@
 )
 from trefoilstage.components.forwarding.connections import (
     CheckedResponse,
-    KeepingConnector,
-    count_idle,
+    KeepAliveConnector,
+    limit_idle_connections,
 )
 from trefoilstage.components.forwarding.models import CallerRequest, TargetEntry
 from trefoilstage.exceptions import TrefoilstageError
 from trefoilstage.fleet_board import FleetBoard
 from trefoilstage.helpers.sends import Attempt, RepeatedSendError, open_session
 
-# A target in the same region accepts within 2 ms. The kernel sends a lost opening
-# packet again after 1 s; another target is tried long before that.
+# A target in the same region accepts within 2 ms. The kernel resends a lost SYN packet
+# only after 1 s; another target is tried long before that.
 CONNECT_TIMEOUT_S = 0.4
 SKIPPED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
-SEND_ERRORS = (
+CONNECTION_ERRORS = (
     aiohttp.ClientError,
     OSError,
     TimeoutError,
@@ -37,60 +37,64 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class NotSent:
-    """Tell that a target certainly did not run a request."""
+    """Report that a target certainly did not run a request."""
 
     reason: str
     misdirected: bool = False
     busy: bool = False
     unreachable: bool = False  # no connection could be opened
-    silent: bool = False  # and nothing came back until the timeout
-    stalled: bool = False  # this host stood still while it connected
+    silent: bool = False  # the connection attempt timed out
+    stalled: bool = False  # this host was suspended while it connected
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Broken:
-    """Tell that a target gave no proper answer; it may have run the request."""
+    """Report that a target gave no valid answer; it may have run the request."""
 
     reason: str
 
 
 class AnswerBrokenError(TrefoilstageError):
-    """Report that an answer ended before it was complete."""
+    """Raised when an answer ends before it is complete."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OpenAnswer:
-    """Hold an answer whose head was read and whose body is still to come."""
+    """Represent an answer whose head was checked and whose body is not read yet."""
 
     head: AnswerHead
     headers: list[tuple[str, str]]
     response: CheckedResponse
 
     async def read(self) -> AsyncIterator[bytes]:
-        """Yield the body as it comes, or raise AnswerBrokenError."""
+        """Yield the body as it arrives.
+
+        Raises AnswerBrokenError if the answer ends early.
+        """
         try:
             async for data in self.response.content.iter_any():
                 yield data
-        except SEND_ERRORS as error:
+        except CONNECTION_ERRORS as error:
             raise AnswerBrokenError(type(error).__name__) from error
 
     def close(self) -> None:
-        """Close the connection, upon which the target stops its work.
+        """Close the connection, which makes the target cancel the request.
 
-        Nothing is closed after a whole answer: its connection was given back.
+        After a complete answer, the connection is already back in the pool and stays
+        open.
         """
         self.response.close()
 
 
 def open_target_session(address: str, board: FleetBoard) -> aiohttp.ClientSession:
-    """Return a session that keeps connections to targets while they are sound."""
+    """Return a session that reuses connections to targets while they are usable."""
 
     def get_max_idle() -> int:
         services = board.configuration.services if board.configuration else {}
         limits = (service.max_connections for service in services.values())
-        return count_idle(limits, len(board.peers) + 1)
+        return limit_idle_connections(limits, len(board.peers) + 1)
 
-    connector = KeepingConnector(address=address, get_max_idle=get_max_idle)
+    connector = KeepAliveConnector(address=address, get_max_idle=get_max_idle)
     return open_session(connector, CheckedResponse)
 
 
@@ -108,7 +112,7 @@
         target: TargetEntry,
         options: ForwardOptions,
     ) -> OpenAnswer | NotSent | Broken:
-        """Return a target's answer, or whether it can have run the request."""
+        """Return a target's answer, or whether it may have run the request."""
         attempt = Attempt(once=True)
         try:
             response = await self._session.request(
@@ -124,7 +128,7 @@
                 ),
                 trace_request_ctx=attempt,
             )
-        except SEND_ERRORS as error:
+        except CONNECTION_ERRORS as error:
             name = type(error).__name__
             if attempt.n_sent:
                 return Broken(reason=name)
@@ -148,6 +152,8 @@
             )
         if not head.trusted:
             response.discard()
-            return Broken(reason=f"status {head.status}, not the target's answer")
+            return Broken(
+                reason=f"status {head.status}, not a verified answer of the target"
+            )
         headers = self._border.write_answer(response.headers.items())
         return OpenAnswer(head=head, headers=headers, response=response)
--- a/trefoilstage/components/forwarding/server.py
+++ b/trefoilstage/components/forwarding/server.py
@@ -1,4 +1,4 @@
-"""Listen for callers and for the balancer's question whether this host is ready."""
+"""Serve callers' requests, and readiness checks by the load balancer."""
 
 import asyncio
 from typing import Any
@@ -10,7 +10,7 @@
 from trefoilstage.components.forwarding.border import Border, MalformedRequestError
 from trefoilstage.components.forwarding.models import CallerRequest, RouteKind
 from trefoilstage.components.forwarding.pipeline import ForwardingPipeline
-from trefoilstage.components.forwarding.placement import IN_TIME_SHARE
+from trefoilstage.components.forwarding.placement import IN_TIME_OBJECTIVE_SHARE
 from trefoilstage.components.forwarding.reply import WebReply
 from trefoilstage.components.forwarding.run import Run
 from trefoilstage.fleet_board import FleetBoard
@@ -21,36 +21,38 @@
 
 RETRY_AFTER_S = 1.0
 DRAIN_POLL_S = 0.05
-# Requests that were on their way to open connections as the port closed arrive within
-# a round trip, 2 ms on the platform, and are refused. Closed at once, the connections
-# would end without an answer, and callers could not tell whether their request ran.
-CROSSING_S = 0.05
-# Cancelled requests end within one turn of the loop; a busy host needs a few.
-CUT_OFF_S = 0.1
+# Requests in flight on open connections when the port closes arrive within a round
+# trip, 2 ms on the platform, and are refused. If the connections were closed
+# immediately, callers would not know whether their requests ran.
+IN_FLIGHT_GRACE_S = 0.05
+# Cancelled requests end within one iteration of the event loop, a few on a busy host.
+CANCEL_TIMEOUT_S = 0.1
 MAX_BODY_BYTES = 16 * 1024 * 1024
-# Callers keep to the idle limit in the configuration, 15 s in what was seen. This
-# only ends connections whose callers are gone, and must be the longer one: closing
-# first would cross a request that is on its way.
+# Callers observe the idle limit in the configuration, 15 s in all configurations seen.
+# This timeout only ends connections whose callers are gone. It must be longer: if this
+# host closed first, a request could be in flight.
 IDLE_TIMEOUT_S = 120.0
-# Another host takes the request at once.
-ELSEWHERE_AFTER_S = 0.05
-SHUTTING_DOWN = Refusal(reason=Reason.SHUTTING_DOWN, retry_after_s=ELSEWHERE_AFTER_S)
-# The balancer leaves a host after two misses of a question a second.
-BALANCER_MISSES = 2
-# A request waits on the link when its tokens are held and when it is sent on.
-LINK_TRIPS = 2
+# Another host accepts the request immediately.
+RETRY_ELSEWHERE_AFTER_S = 0.05
+SHUTTING_DOWN = Refusal(
+    reason=Reason.SHUTTING_DOWN, retry_after_s=RETRY_ELSEWHERE_AFTER_S
+)
+# The load balancer checks once a second and removes a host after two failed checks.
+N_BALANCER_MISSES = 2
+# A request waits for the link twice: for its token hold and for its send to a target.
+N_LINK_WAITS = 2
 LINK_FULL = Refusal(
     reason=Reason.OVERLOADED,
-    retry_after_s=ELSEWHERE_AFTER_S,
-    detail="this host's link",
+    retry_after_s=RETRY_ELSEWHERE_AFTER_S,
+    detail="this host's link is full",
 )
-# The pipeline answers or says why not; should it do neither, nothing is promised.
+# Fallback if the pipeline returns neither an answer nor a refusal.
 NO_ANSWER = Refusal(reason=Reason.TARGET_FAILED, effect=Effect.UNKNOWN)
 NOT_READY = Refusal(reason=Reason.NOT_READY, retry_after_s=RETRY_AFTER_S)
 
 
 class ForwardingServer(Service):
-    """Take callers' requests and hand them to the pipeline."""
+    """Receive callers' requests and pass them to the pipeline."""
 
     def __init__(
         self,
@@ -68,20 +70,20 @@
         self._refusals = RefusalMaker(border=border)
         self._refuses_streams = False
         self._refuses_all = False
-        self._answering: set[asyncio.Task[Any]] = set()
-        self._link_was_full = False
-        self._n_misses = 0  # in a row, of the balancer's questions
+        self._request_tasks: set[asyncio.Task[Any]] = set()
+        self._was_link_full = False
+        self._n_not_ready = 0  # consecutive failed readiness checks
         self.n_streams = 0
 
     @property
     def n_active(self) -> int:
-        """Return how many requests are under way."""
-        return len(self._answering)
+        """Return the number of requests in progress."""
+        return len(self._request_tasks)
 
     async def on_start(self) -> None:
-        """Listen on both ports."""
+        """Listen on the caller port and the readiness port."""
         callers = web.Server(
-            self._answer,
+            self._handle_request,
             access_log=None,
             handler_cancellation=True,
             keepalive_timeout=IDLE_TIMEOUT_S,
@@ -90,13 +92,17 @@
             auto_decompress=False,
             request_factory=make_web_request,
         )
-        self._callers = web.ServerRunner(callers, shutdown_timeout=0.5)
-        await self._callers.setup()
-        self.caller_port = await self._listen(self._callers, self._settings.caller_port)
-        ready = web.Server(self._answer_ready, access_log=None)
-        self._ready = web.ServerRunner(ready, shutdown_timeout=0.1)
-        await self._ready.setup()
-        self.ready_port = await self._listen(self._ready, self._settings.ready_port)
+        self._caller_runner = web.ServerRunner(callers, shutdown_timeout=0.5)
+        await self._caller_runner.setup()
+        self.caller_port = await self._listen(
+            self._caller_runner, self._settings.caller_port
+        )
+        ready = web.Server(self._handle_ready, access_log=None)
+        self._ready_runner = web.ServerRunner(ready, shutdown_timeout=0.1)
+        await self._ready_runner.setup()
+        self.ready_port = await self._listen(
+            self._ready_runner, self._settings.ready_port
+        )
 
     async def _listen(self, runner: web.ServerRunner, port: int) -> int:
         site = web.TCPSite(runner, self._settings.address, port, backlog=1024)
@@ -105,19 +111,19 @@
         return bound
 
     async def on_stop(self) -> None:
-        """Stop listening, refuse what is still on its way, then close."""
+        """Stop listening, refuse the requests in flight, then close."""
         self.refuse_all_requests()
-        # The loop takes the waiting connections at the start of each turn. Those that
-        # come between that and the close are reset.
+        # The event loop accepts pending connections at the start of each iteration.
+        # Connections that arrive between that and the close are reset.
         await asyncio.sleep(0)
-        for site in list(self._callers.sites):
+        for site in list(self._caller_runner.sites):
             await site.stop()
-        await asyncio.sleep(CROSSING_S)
-        await self._callers.cleanup()
-        await self._ready.cleanup()
+        await asyncio.sleep(IN_FLIGHT_GRACE_S)
+        await self._caller_runner.cleanup()
+        await self._ready_runner.cleanup()
 
     async def drain(self, timeout_s: float) -> bool:
-        """Wait for the requests in flight; tell whether all of them ended."""
+        """Wait for the requests in progress; return whether all of them ended."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
         while self.n_active:
@@ -127,67 +133,70 @@
         return True
 
     async def cut_off(self) -> None:
-        """End what is still under way; its callers see that the answer broke off.
+        """Cancel the requests in progress; their callers get an incomplete answer.
 
-        Ended only as the connections close, a request would settle its tokens after
-        the host's last report, and what was held and not spent would be lost.
+        If requests ended only when the connections close, they would settle their
+        tokens after the host's last report, and held but unspent tokens would be lost.
         """
-        for task in self._answering:
+        for task in self._request_tasks:
             task.cancel()
-        if self._answering:
-            await asyncio.wait(self._answering, timeout=CUT_OFF_S)
+        if self._request_tasks:
+            await asyncio.wait(self._request_tasks, timeout=CANCEL_TIMEOUT_S)
 
     def refuse_long_requests(self) -> None:
-        """Take no streams any more; they would not end in time."""
+        """Refuse new streams, which would not end before the shutdown."""
         self._refuses_streams = True
 
     def refuse_all_requests(self) -> None:
-        """Take nothing any more; open connections learn of it at their next request."""
+        """Refuse all new requests, also those on open connections."""
         self._refuses_all = True
 
-    async def _answer_ready(self, request: web.BaseRequest) -> web.Response:
+    async def _handle_ready(self, request: web.BaseRequest) -> web.Response:
         serving = self._board.phase is Phase.SERVING
-        ready = serving and not self._sends_elsewhere()
-        self._n_misses = 0 if ready else self._n_misses + 1
+        ready = serving and not self._check_link()
+        self._n_not_ready = 0 if ready else self._n_not_ready + 1
         return web.Response(status=200 if ready else 503)
 
-    def _must_leave(self, objective_s: float, now: float) -> bool:
-        """Tell whether a caller can be in time at other hosts only.
+    def _should_send_elsewhere(self, objective_s: float, now: float) -> bool:
+        """Return whether a request would be late here because of the full link.
 
-        Refused before the balancer has left this host, it would come back here.
+        Requests are refused only after the load balancer has removed this host;
+        otherwise callers' retries would reach this host again.
         """
-        if self._n_misses < BALANCER_MISSES or not self._board.sends_elsewhere(now):
+        if self._n_not_ready < N_BALANCER_MISSES or not self._board.sends_elsewhere(
+            now
+        ):
             return False
-        waits_s = LINK_TRIPS * self._board.round_trips.estimate(now)
-        return waits_s > IN_TIME_SHARE * objective_s
+        wait_s = N_LINK_WAITS * self._board.round_trips.estimate(now)
+        return wait_s > IN_TIME_OBJECTIVE_SHARE * objective_s
 
-    def _sends_elsewhere(self) -> bool:
-        """Tell whether callers do better at other hosts, and log when that changes."""
+    def _check_link(self) -> bool:
+        """Return whether peers can serve callers faster, and log when that changes."""
         now = asyncio.get_running_loop().time()
-        sends = self._board.sends_elsewhere(now)
-        if sends != self._link_was_full:
-            self._link_was_full = sends
+        sends_elsewhere = self._board.sends_elsewhere(now)
+        if sends_elsewhere != self._was_link_full:
+            self._was_link_full = sends_elsewhere
             log_event(
-                Event.LINK_FULL if sends else Event.LINK_HAS_ROOM,
+                Event.LINK_FULL if sends_elsewhere else Event.LINK_HAS_ROOM,
                 host=self._board.host,
                 call_s=self._board.round_trips.estimate(now),
                 active=self.n_active,
             )
-        return sends
+        return sends_elsewhere
 
-    async def _answer(self, web_request: web.BaseRequest) -> web.StreamResponse:
+    async def _handle_request(self, web_request: web.BaseRequest) -> web.StreamResponse:
         started = asyncio.get_running_loop().time()
         request: CallerRequest | None = None
         task = asyncio.current_task()
         assert task is not None
-        self._answering.add(task)
+        self._request_tasks.add(task)
         try:
             request = self._border.read_request(
                 method=web_request.method,
                 raw_target=web_request.raw_path,
                 headers=web_request.headers.items(),
             )
-            run = await self._open_run(request, web_request, started)
+            run = await self._create_run(request, web_request, started)
             if isinstance(run, Refusal):
                 return self._refuse(run, request)
             reply = WebReply(web_request=web_request)
@@ -199,7 +208,7 @@
             refusal = Refusal(reason=Reason.BAD_REQUEST, detail=str(error))
             return self._refuse(refusal, request)
         finally:
-            self._answering.discard(task)
+            self._request_tasks.discard(task)
 
     async def _run(self, run: Run, reply: WebReply) -> Refusal | None:
         is_stream = run.route.kind is RouteKind.STREAM
@@ -209,7 +218,7 @@
         finally:
             self.n_streams -= is_stream
 
-    async def _open_run(
+    async def _create_run(
         self, request: CallerRequest, web_request: web.BaseRequest, started: float
     ) -> Run | Refusal:
         configuration = self._board.configuration
@@ -229,7 +238,7 @@
         limit = min(MAX_BODY_BYTES, configuration.limits.max_body_bytes)
         if length > limit:
             return Refusal(reason=Reason.BODY_TOO_LARGE)
-        if self._must_leave(route.objective_s, started):
+        if self._should_send_elsewhere(route.objective_s, started):
             return LINK_FULL
         body = await web_request.read()
         body_s = asyncio.get_running_loop().time() - started
@@ -267,8 +276,8 @@
     ) -> web.StreamResponse:
         if reply.response is None:
             return self._refuse(refusal, run.request, run.workspace_name)
-        # The head is out. Without the end of the body, the caller sees that the
-        # answer broke off.
+        # The head was already sent. The caller detects the incomplete answer by the
+        # missing end of the body.
         log_event(
             Event.REQUEST_FAILED,
             request=run.request.request,
@@ -284,7 +293,7 @@
 def make_web_request(
     message: Any, payload: Any, protocol: Any, writer: Any, task: Any
 ) -> web.BaseRequest:
-    """Return a request whose body may be as large as the limits ever allow."""
+    """Return a request whose body may have the largest size that can be configured."""
     return web.BaseRequest(
         message,
         payload,
--- a/trefoilstage/components/forwarding/targets.py
+++ b/trefoilstage/components/forwarding/targets.py
@@ -1,17 +1,17 @@
-"""Choose targets by what this host knows of them."""
+"""Choose targets by their health and load as this host knows them."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
 from trefoilstage.components.fleet.membership import FleetMembership
-from trefoilstage.components.forwarding.heard_work import TOTALS_AGE_S
+from trefoilstage.components.forwarding.heard_work import MAX_TOTALS_AGE_S
 from trefoilstage.components.forwarding.models import PromptPart, TargetEntry
 from trefoilstage.components.forwarding.placement import (
     MAX_CANDIDATES,
-    N_CANDIDATES,
-    Option,
+    N_FIRST_CANDIDATES,
+    CandidateInfo,
     PromptNeed,
-    Survey,
+    TargetOption,
     choose_by_load,
     choose_by_prompt,
     count_tokens,
@@ -27,21 +27,21 @@
 from trefoilstage.helpers.events import Event, log_event
 from trefoilstage.timer import TimerService
 
-# On a link that is full, asking again costs more of the objective than it may win.
-MAX_ASKING_S = 0.05
+# On a full link, another query costs more of the objective than it can save.
+MAX_TOTAL_QUERY_S = 0.05
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SentPrompt:
-    """Hold what a target had to read when a prompt was sent to it."""
+    """Describe the prefill queue of a target when a prompt was sent to it."""
 
-    n_unread: int  # tokens of the prompt itself
-    n_ahead: int  # tokens of prompts sent before, from all hosts as far as known
-    at: float
+    n_uncached_tokens: int  # of the prompt itself
+    n_queued_tokens: int  # of prompts sent earlier, by all hosts as far as known
+    sent_at: float
 
 
 class TargetChooser:
-    """Keep each target's health and work of this host, and choose among them."""
+    """Track the targets' health and this host's work there, and choose a target."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         self._timer = timer
         self._workload = workload
         self._healths: dict[str, TargetHealth] = {}
-        self._budgets: dict[str, RetryBudget] = {}
+        self._retry_budgets: dict[str, RetryBudget] = {}
 
     def choose(
         self,
@@ -67,10 +67,10 @@
         excluded: set[str],
         need: PromptNeed | None,
         prompt: Sequence[PromptPart],
-        survey: Survey,
+        candidate_info: CandidateInfo,
         request: str,
     ) -> TargetEntry | None:
-        """Return the target for a request, None if there is none."""
+        """Return the target for a request, None if no target is usable."""
         usable = self._list_usable(service, excluded)
         if not usable:
             return None
@@ -79,30 +79,30 @@
             return choose_by_load(options, self._board.data_center, request)
         candidates = rank_candidates(usable, need.subject)
         if self._workload.is_large():
-            candidates = candidates[: survey.n_candidates]
-        options = self._list_options(candidates, prompt, survey.kept)
+            candidates = candidates[: candidate_info.n_candidates]
+        options = self._list_options(candidates, prompt, candidate_info.cached_tokens)
         return choose_by_prompt(options, need)
 
     def _list_options(
         self,
         targets: Sequence[TargetEntry],
         prompt: Sequence[PromptPart],
-        kept: Mapping[str, int],
-    ) -> list[Option]:
-        """Return targets with what they have in memory of a prompt, as far as known."""
+        cached_tokens: Mapping[str, int],
+    ) -> list[TargetOption]:
+        """Return targets with the tokens of a prompt that each has cached."""
         return [
-            self._make_option(target, self._count_kept(target, prompt, kept))
+            self._make_option(target, self._count_cached(target, prompt, cached_tokens))
             for target in targets
         ]
 
-    def _count_kept(
+    def _count_cached(
         self,
         target: TargetEntry,
         prompt: Sequence[PromptPart],
-        kept: Mapping[str, int],
+        cached_tokens: Mapping[str, int],
     ) -> int:
-        known_here = self._workload.count_kept(target.incarnation, prompt)
-        return max(known_here, kept.get(target.incarnation, 0))
+        n_local = self._workload.count_cached(target.incarnation, prompt)
+        return max(n_local, cached_tokens.get(target.incarnation, 0))
 
     def _list_usable(self, service: str, excluded: set[str]) -> list[TargetEntry]:
         now = self._timer.now()
@@ -113,97 +113,109 @@
             for target in others
             if self._get_health(target).may_send(now, retry=False)
         ]
-        # With every target ejected, each request would be refused although a
-        # target may be well again.
+        # If all targets are ejected, use them anyway: one may have recovered, and
+        # otherwise every request would be refused.
         return healthy or others
 
-    def _make_option(self, target: TargetEntry, n_kept_tokens: int = 0) -> Option:
-        return Option(
+    def _make_option(
+        self, target: TargetEntry, n_cached_tokens: int = 0
+    ) -> TargetOption:
+        return TargetOption(
             target=target,
             work=self._workload.get_work(target.incarnation),
-            n_kept_tokens=n_kept_tokens,
-            tokens_per_s=self._workload.get_pace(target.incarnation),
+            n_cached_tokens=n_cached_tokens,
+            prefill_tokens_per_s=self._workload.get_prefill_speed(target.incarnation),
             kv_tokens=self._get_kv_tokens(target),
         )
 
-    async def refresh(
+    async def query_candidates(
         self, service: str, need: PromptNeed | None, prompt: Sequence[PromptPart]
-    ) -> Survey:
-        """Learn what other hosts know of a prompt's targets, before one is chosen.
+    ) -> CandidateInfo:
+        """Query the home hosts of a prompt's candidate targets for their state.
 
-        Ask about more targets while the prompt would be late at all of them. Calls
-        without a prompt take 45 ms in the mean, and few of them meet.
+        Query more targets while the prompt would be late at all known ones. Requests
+        without a prompt need no query: they take 45 ms on average and seldom overlap.
         """
         if need is None or not self._workload.is_large():
-            return Survey()
+            return CandidateInfo()
         ranked = rank_candidates(self._list_usable(service, set()), need.subject)
-        kept: dict[str, int] = {}
-        n_asked = 0
-        until = self._timer.now() + MAX_ASKING_S
-        while n_asked < min(len(ranked), MAX_CANDIDATES):
-            n_wanted = max(N_CANDIDATES, 2 * n_asked)
-            names = [target.incarnation for target in ranked[n_asked:n_wanted]]
-            kept |= await self._workload.refresh(names, prompt)
-            n_asked = n_wanted
-            options = self._list_options(ranked[:n_asked], prompt, kept)
-            may_ask = self._timer.now() < until
-            if not may_ask or not all(is_late(option, need) for option in options):
+        cached_tokens: dict[str, int] = {}
+        n_queried = 0
+        query_until = self._timer.now() + MAX_TOTAL_QUERY_S
+        while n_queried < min(len(ranked), MAX_CANDIDATES):
+            n_wanted = max(N_FIRST_CANDIDATES, 2 * n_queried)
+            names = [target.incarnation for target in ranked[n_queried:n_wanted]]
+            cached_tokens |= await self._workload.query_homes(names, prompt)
+            n_queried = n_wanted
+            options = self._list_options(ranked[:n_queried], prompt, cached_tokens)
+            may_query = self._timer.now() < query_until
+            if not may_query or not all(is_late(option, need) for option in options):
                 break
-        return Survey(kept=kept, n_candidates=n_asked)
+        return CandidateInfo(cached_tokens=cached_tokens, n_candidates=n_queried)
 
-    def should_ask_again(self, asked_at: float) -> bool:
-        """Tell whether what was learned of targets is too old to choose by."""
+    def should_query_again(self, queried_at: float) -> bool:
+        """Return whether the candidate information is old and worth a new query."""
         now = self._timer.now()
-        # Else all that waited out one outage would choose the same targets.
-        if not self._workload.is_large() or now - asked_at <= TOTALS_AGE_S:
+        # All requests that waited for the end of one outage would otherwise choose the
+        # same targets.
+        if not self._workload.is_large() or now - queried_at <= MAX_TOTALS_AGE_S:
             return False
-        # On a full link the answer would take longer than it is worth.
-        return self._board.round_trips.estimate(now) <= MAX_ASKING_S
+        # On a full link, the reply would cost more time than it can save.
+        return self._board.round_trips.estimate(now) <= MAX_TOTAL_QUERY_S
 
-    def has_other(self, service: str, excluded: set[str]) -> bool:
-        """Tell whether a service has a ready target besides some."""
+    def has_other_target(self, service: str, excluded: set[str]) -> bool:
+        """Return whether a service has a ready target that is not excluded."""
         ready = self._board.targets.list_ready(service, self._timer.now())
         return any(target.incarnation not in excluded for target in ready)
 
-    def note_request(self, service: str) -> None:
-        """Count a request of a caller for the retry budget."""
-        self._get_budget(service).note_request(self._timer.now())
+    def count_request(self, service: str) -> None:
+        """Count a caller's request for the retry budget."""
+        self._get_retry_budget(service).count_request(self._timer.now())
 
-    def take_repeat(self, service: str) -> bool:
-        """Take one repeat from the retry budget, if it allows one."""
+    def take_retry(self, service: str) -> bool:
+        """Return whether the retry budget allows one more retry, and count it."""
         n_hosts = self._membership.count_hosts()
-        return self._get_budget(service).take(self._timer.now(), n_hosts)
+        return self._get_retry_budget(service).take_retry(self._timer.now(), n_hosts)
 
-    def note_start(
-        self, target: TargetEntry, prompt: Sequence[PromptPart], survey: Survey
+    def add_request(
+        self,
+        target: TargetEntry,
+        prompt: Sequence[PromptPart],
+        candidate_info: CandidateInfo,
     ) -> SentPrompt:
-        """Count a request that is sent to a target; return what has to be read."""
+        """Count a request that is sent to a target; return its prefill queue."""
         name = target.incarnation
         n_tokens = count_tokens(prompt)
         sent = SentPrompt(
-            n_unread=n_tokens - self._count_kept(target, prompt, survey.kept),
-            n_ahead=self._workload.get_work(name).prompt_tokens,
-            at=self._timer.now(),
+            n_uncached_tokens=n_tokens
+            - self._count_cached(target, prompt, candidate_info.cached_tokens),
+            n_queued_tokens=self._workload.get_work(name).prompt_tokens,
+            sent_at=self._timer.now(),
         )
         if prompt:
             kv_tokens = self._get_kv_tokens(target) or 0
             self._workload.add_prompt(name, kv_tokens, prompt)
-        self._workload.add(
-            name, n_requests=1, prompt_tokens=sent.n_unread, held_tokens=n_tokens
+        self._workload.adjust_work(
+            name,
+            n_requests=1,
+            prompt_tokens=sent.n_uncached_tokens,
+            held_tokens=n_tokens,
         )
         self._get_health(target).start(retry=False)
         return sent
 
-    def note_first_token(self, target: TargetEntry, sent: SentPrompt) -> None:
-        """Count a prompt that a target has read, and how long it took."""
-        seconds = self._timer.now() - sent.at
-        n_tokens = sent.n_ahead + sent.n_unread
-        self._workload.note_reading(target.incarnation, n_tokens, seconds)
-        self.note_unread(target, sent)
+    def record_first_token(self, target: TargetEntry, sent: SentPrompt) -> None:
+        """Record that a target sent a prompt's first token, and the time it took."""
+        seconds = self._timer.now() - sent.sent_at
+        n_tokens = sent.n_queued_tokens + sent.n_uncached_tokens
+        self._workload.add_prefill_sample(target.incarnation, n_tokens, seconds)
+        self.remove_pending_prefill(target, sent)
 
-    def note_unread(self, target: TargetEntry, sent: SentPrompt) -> None:
-        """Count a prompt that a target need not read any more."""
-        self._workload.add(target.incarnation, prompt_tokens=-sent.n_unread)
+    def remove_pending_prefill(self, target: TargetEntry, sent: SentPrompt) -> None:
+        """Remove a prompt's uncached tokens from the target's pending prefill."""
+        self._workload.adjust_work(
+            target.incarnation, prompt_tokens=-sent.n_uncached_tokens
+        )
 
     def _get_kv_tokens(self, target: TargetEntry) -> int | None:
         configuration = self._board.configuration
@@ -211,17 +223,17 @@
         engine = service.engine if service else None
         return engine.kv_tokens if engine else None
 
-    def note_end(self, target: TargetEntry, prompt: Sequence[PromptPart]) -> None:
-        """Count a request that ended at a target."""
-        self._workload.add(
+    def remove_request(self, target: TargetEntry, prompt: Sequence[PromptPart]) -> None:
+        """Remove a request that ended from the target's work."""
+        self._workload.adjust_work(
             target.incarnation, n_requests=-1, held_tokens=-count_tokens(prompt)
         )
         self._get_health(target).note_dropped()
 
-    def note_answer(
+    def record_answer(
         self, target: TargetEntry, answer: OpenAnswer | NotSent | Broken
     ) -> None:
-        """Judge a target by an answer."""
+        """Update a target's health by the outcome of a request."""
         now = self._timer.now()
         health = self._get_health(target)
         if isinstance(answer, OpenAnswer):
@@ -253,31 +265,31 @@
         if failed:
             log_event(Event.TARGET_EJECTED, target=target.name)
 
-    def note_broken(self, target: TargetEntry) -> None:
-        """Count an answer that broke off."""
+    def record_broken_answer(self, target: TargetEntry) -> None:
+        """Count an answer that broke off as a failure of its target."""
         self._get_health(target).note_failure(self._timer.now())
 
     def _get_health(self, target: TargetEntry) -> TargetHealth:
-        # A restarted target owes nothing for what failed before its restart.
+        # Failures before a restart do not count against the restarted target.
         health = self._healths.get(target.incarnation)
         if health is None:
-            self._forget_ended()
+            self._remove_ended()
             health = self._healths[target.incarnation] = TargetHealth()
         return health
 
-    def _forget_ended(self) -> None:
+    def _remove_ended(self) -> None:
         listed = self._board.targets.list_incarnations()
         self._healths = {
             name: health for name, health in self._healths.items() if name in listed
         }
 
-    def _get_budget(self, service: str) -> RetryBudget:
-        budget = self._budgets.get(service)
+    def _get_retry_budget(self, service: str) -> RetryBudget:
+        budget = self._retry_budgets.get(service)
         if budget is None:
             budget = RetryBudget(
                 ratio=self._settings.retry_ratio,
                 slack=self._settings.retry_slack,
                 window_s=self._settings.retry_window_s,
             )
-            self._budgets[service] = budget
+            self._retry_budgets[service] = budget
         return budget
--- a/trefoilstage/components/forwarding/work.py
+++ b/trefoilstage/components/forwarding/work.py
@@ -1,4 +1,4 @@
-"""Count what is under way at a target; pure."""
+"""Represent the requests and prompt tokens in progress at a target; pure."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -8,14 +8,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Work:
-    """Hold what one host, or several, have under way at a target."""
+    """Describe the load that one or several hosts put on a target."""
 
     n_requests: Count = 0
-    prompt_tokens: Count = 0  # to be read yet
-    held_tokens: Count = 0  # of the prompts under way
+    prompt_tokens: Count = 0  # prefill not finished yet
+    held_tokens: Count = 0  # of the prompts of all running requests
 
 
-def add_up(items: Iterable[Work]) -> Work:
+def sum_work(items: Iterable[Work]) -> Work:
     """Return the sum of several hosts' work."""
     known = list(items)
     return Work(
