--- a/tests/components/forwarding/common.py
+++ b/tests/components/forwarding/common.py
@@ -1,4 +1,4 @@
-"""Build what the forwarding tests share."""
+"""Create routes and targets for the forwarding tests."""
 
 from trefoilstage.components.forwarding.models import (
     Route,
@@ -10,7 +10,7 @@
 
 
 def make_route(prefix: str, *, host: str = "club.example", name: str = "") -> Route:
-    """Return a route of a host and a prefix."""
+    """Return a route for a host name and path prefix."""
     return Route(
         name=name or prefix,
         host=host,
@@ -35,7 +35,7 @@
     address: str = "127.0.0.1:1",
     started_ms: int = 0,
 ) -> TargetEntry:
-    """Return a target's entry."""
+    """Return the registry entry of a target."""
     return TargetEntry(
         name=name,
         service=service,
--- a/tests/components/forwarding/test_connections.py
+++ b/tests/components/forwarding/test_connections.py
@@ -1,4 +1,4 @@
-"""Test which connections to targets serve another request."""
+"""Test which connections to targets are reused."""
 
 import asyncio
 import unittest
@@ -27,7 +27,7 @@
 
 
 def make_request(name: str, body: bytes = b"") -> tuple[CallerRequest, bytes]:
-    """Return a caller's request with its body."""
+    """Return a caller's request and its body."""
     request = CallerRequest(
         request=name,
         method="POST",
@@ -53,7 +53,7 @@
 
 
 class ScriptedTarget:
-    """Serve requests by a script, and count connections."""
+    """Serve requests with a given function, and count connections."""
 
     def __init__(self, serve: Serve) -> None:
         self._serve = serve
@@ -62,7 +62,7 @@
         self.idle_bytes = asyncio.Event()
 
     async def __aenter__(self) -> "ScriptedTarget":
-        self._server = await asyncio.start_server(self._take, LOOPBACK, 0)
+        self._server = await asyncio.start_server(self._serve_connection, LOOPBACK, 0)
         port = self._server.sockets[0].getsockname()[1]
         self.entry = make_target("i-1", address=f"{LOOPBACK}:{port}")
         self._session = open_target_session(LOOPBACK, make_board("host-0", ["host-0"]))
@@ -74,10 +74,10 @@
         self._server.close()
 
     def stop_listening(self) -> None:
-        """Close the port."""
+        """Close the listening port."""
         self._server.close()
 
-    async def _take(
+    async def _serve_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.n_connections += 1
@@ -91,7 +91,7 @@
             writer.close()
 
     async def send(self, name: str) -> bytes | Broken | NotSent:
-        """Send a request; return the whole body, or why there is none."""
+        """Send a request; return the complete body, or why there is none."""
         request, body = make_request(name)
         answer = await self.sender.send(request, body, self.entry, OPTIONS)
         if not isinstance(answer, OpenAnswer):
@@ -102,10 +102,10 @@
 
 
 class KeptConnectionTest(unittest.IsolatedAsyncioTestCase):
-    """Test requests that follow each other to one target."""
+    """Test consecutive requests to one target."""
 
-    async def test_whole_answers_share_a_connection(self) -> None:
-        """Send three requests one after the other."""
+    async def test_complete_answers_share_a_connection(self) -> None:
+        """Send three requests; all use the same connection."""
 
         async def serve(
             target: ScriptedTarget, name: str, writer: asyncio.StreamWriter
@@ -117,8 +117,8 @@
                 self.assertEqual(await target.send(f"r-{number}"), b"whole")
             self.assertEqual(target.n_connections, 1)
 
-    async def test_second_answer_at_once_spoils_the_connection(self) -> None:
-        """Answer twice in one go; the next caller would get the second answer."""
+    async def test_duplicate_answer_makes_the_connection_unusable(self) -> None:
+        """Send two answers in one write; the second must not reach the next caller."""
 
         async def serve(
             target: ScriptedTarget, name: str, writer: asyncio.StreamWriter
@@ -130,10 +130,10 @@
                 self.assertEqual(await target.send(f"r-{number}"), b"whole")
             self.assertEqual(target.n_connections, 3)
 
-    async def test_bytes_on_an_idle_connection_spoil_it(self) -> None:
-        """Send bytes that are no answer between two requests.
+    async def test_bytes_on_an_idle_connection_make_it_unusable(self) -> None:
+        """Send unsolicited bytes between two requests.
 
-        The library would keep them and read the next answer behind them.
+        The HTTP library would parse them as the start of the next answer.
         """
 
         async def serve(
@@ -152,11 +152,11 @@
             self.assertEqual(await target.send("r-1"), b"whole")
             self.assertEqual(target.n_connections, 2)
 
-    async def test_late_second_answer_reaches_no_other_caller(self) -> None:
-        """Hold a second answer back until the next request is there.
+    async def test_late_duplicate_answer_reaches_no_other_caller(self) -> None:
+        """Send a duplicate answer only after the next request has arrived.
 
-        The next caller must not get it. Its own answer comes behind it, on a
-        connection that is not used again, so that the one after is served.
+        The next caller must not get the duplicate. Its own answer follows on the same
+        connection, which must not be reused, so that the third request succeeds.
         """
         late: list[bytes] = []
 
@@ -172,11 +172,11 @@
             self.assertEqual(await target.send("r-2"), b"whole")
             self.assertEqual(target.n_connections, 2)
 
-    async def test_own_answer_behind_a_foreign_one_reaches_nobody(self) -> None:
-        """Answer a request with another's answer, and with its own a moment later.
+    async def test_answer_after_a_mismatched_one_reaches_no_caller(self) -> None:
+        """Answer a request with the answer to another one, then with its own.
 
-        The first looks whole and would give the connection back; the next request
-        on it would get the second one's answer.
+        The first answer is complete and would return the connection to the pool. The
+        next request on this connection would get the second answer.
         """
         late: list[asyncio.Task[None]] = []
 
@@ -199,11 +199,11 @@
             self.assertIsInstance(await target.send("r-1"), Broken)
             self.assertEqual(await target.send("r-2"), b"whole")
 
-    async def test_connection_closed_under_a_request_is_no_proof(self) -> None:
-        """Close a kept connection upon a request, before a word of an answer.
+    async def test_request_on_a_closed_connection_may_have_run(self) -> None:
+        """Close a reused connection after a request, without an answer.
 
-        The target may have run the request, so it must not count as not sent, and
-        the HTTP library must not send it again by itself.
+        The target may have run the request. It must not count as not sent, and the
+        HTTP library must not resend it automatically.
         """
 
         async def serve(
@@ -219,8 +219,8 @@
             self.assertIsInstance(await target.send("r-1"), Broken)
             self.assertEqual(target.requests.count("r-1"), 1)
 
-    async def test_connection_that_the_target_closes_soon_is_not_used(self) -> None:
-        """Answer with no time to keep the connection, then send another request."""
+    async def test_connection_without_keep_alive_time_is_not_reused(self) -> None:
+        """State a keep-alive timeout of 0 s; the next request connects anew."""
 
         async def serve(
             target: ScriptedTarget, name: str, writer: asyncio.StreamWriter
@@ -233,7 +233,7 @@
             self.assertEqual(target.n_connections, 2)
 
     async def test_closed_port_is_unreachable(self) -> None:
-        """Send to a target that has ended; the request has certainly not run."""
+        """Send to a closed port; the request has certainly not run."""
 
         async def serve(
             target: ScriptedTarget, name: str, writer: asyncio.StreamWriter
@@ -247,8 +247,8 @@
             self.assertTrue(answer.unreachable)
             self.assertFalse(answer.silent)
 
-    async def test_idle_connections_are_few(self) -> None:
-        """Send four requests at once, then four more; one connection was kept."""
+    async def test_idle_connections_are_limited(self) -> None:
+        """Send four concurrent requests twice; one idle connection is reused."""
 
         async def serve(
             target: ScriptedTarget, name: str, writer: asyncio.StreamWriter
@@ -263,18 +263,22 @@
 
 
 class IdleTest(unittest.TestCase):
-    """Test how long and how many connections are kept."""
-
-    def test_targets_time_is_kept_to(self) -> None:
-        """Leave a connection before its target closes it."""
-        for text, seconds in (("timeout=5", 4.3), ("5, max=9", 4.3), ("timeout=0", 0)):
-            found = parse_idle_time({"Keep-Alive": text})
-            self.assertAlmostEqual(found, seconds)
+    """Test the time and number limits of idle connections."""
+
+    def test_idle_time_stays_below_the_targets_timeout(self) -> None:
+        """Stop using an idle connection before the target closes it."""
+        for header, seconds in (
+            ("timeout=5", 4.3),
+            ("5, max=9", 4.3),
+            ("timeout=0", 0),
+        ):
+            idle_s = parse_idle_time({"Keep-Alive": header})
+            self.assertAlmostEqual(idle_s, seconds)
         self.assertLess(parse_idle_time({}), 1.0)
         self.assertEqual(parse_idle_time({"Keep-Alive": "timeout=900"}), 15.0)
 
-    def test_all_hosts_leave_room_for_work(self) -> None:
-        """Share what the scarcest target takes; each host keeps one at least."""
+    def test_idle_connections_leave_room_for_requests(self) -> None:
+        """Share the lowest connection limit; each host may keep at least one."""
         self.assertEqual(limit_idle_connections([370, 110], 9), 3)
         self.assertLessEqual(9 * limit_idle_connections([370, 110], 9), 110 // 3)
         self.assertEqual(limit_idle_connections([110], 400), 1)
--- a/tests/components/forwarding/test_events.py
+++ b/tests/components/forwarding/test_events.py
@@ -1,4 +1,4 @@
-"""Test that only whole events go on to callers."""
+"""Test that only complete events are passed on to callers."""
 
 import random
 import unittest
@@ -9,10 +9,10 @@
 
 
 class EventSplitterTest(unittest.TestCase):
-    """Test the split of a stream at any place."""
+    """Test the split of a stream at arbitrary positions."""
 
     def test_events_are_the_same_however_the_bytes_arrive(self) -> None:
-        """Feed a stream in pieces cut at random; its last event never ends."""
+        """Feed a stream in random pieces; its last event is incomplete."""
         whole = EventSplitter().add(STREAM)
         for seed in range(50):
             generator = random.Random(seed)
@@ -26,13 +26,13 @@
             self.assertEqual(events, whole)
             self.assertTrue(splitter.has_partial_event)
 
-    def test_numbers_are_read(self) -> None:
-        """Read each event's id; one without has none."""
-        numbers = [event.event_id for event in EventSplitter().add(STREAM)]
-        self.assertEqual(numbers, [1, 2, None])
+    def test_event_ids_are_parsed(self) -> None:
+        """Parse the id of each event, None for an event without one."""
+        event_ids = [event.event_id for event in EventSplitter().add(STREAM)]
+        self.assertEqual(event_ids, [1, 2, None])
 
-    def test_bytes_are_kept(self) -> None:
-        """Join the events to the bytes that came, but for the torn last one."""
+    def test_bytes_are_unchanged(self) -> None:
+        """Return all received bytes except those of the incomplete last event."""
         events = EventSplitter().add(STREAM)
         joined = b"".join(event.data for event in events)
         self.assertEqual(joined, STREAM[: STREAM.index(b"id: 4")])
--- a/tests/components/forwarding/test_pipeline.py
+++ b/tests/components/forwarding/test_pipeline.py
@@ -1,4 +1,4 @@
-"""Test what the pipeline learns from answers."""
+"""Test prefill samples, candidate queries and blocked requests."""
 
 import asyncio
 import random
@@ -28,8 +28,8 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class FailedAnswer(OpenAnswer):
-    """Hold a target's own failure."""
+class FixedAnswer(OpenAnswer):
+    """Represent an answer with a fixed body."""
 
     async def read(self) -> AsyncIterator[bytes]:
         """Yield the body."""
@@ -41,11 +41,11 @@
 
 @dataclass(kw_only=True)
 class Parts:
-    """Stand in for the parts beside the pipeline, and note what it tells them."""
+    """Replace the pipeline's collaborators and record its calls."""
 
     status: int
     n_prefilled: list[int] = field(default_factory=list)
-    n_cancelled: list[int] = field(default_factory=list)
+    n_removed: list[int] = field(default_factory=list)
 
     async def query_candidates(self, *_: object) -> CandidateInfo:
         return CandidateInfo()
@@ -65,7 +65,7 @@
         self.n_prefilled.append(sent.n_uncached_tokens)
 
     def remove_pending_prefill(self, _: object, sent: SentPrompt) -> None:
-        self.n_cancelled.append(sent.n_uncached_tokens)
+        self.n_removed.append(sent.n_uncached_tokens)
 
     def remove_request(self, *_: object) -> None: ...
 
@@ -92,7 +92,7 @@
             encoded=False,
             closing=False,
         )
-        return FailedAnswer(head=head, headers=[], response=cast(Any, None))
+        return FixedAnswer(head=head, headers=[], response=cast(Any, None))
 
     def set_whole(self, *_: object, **__: object) -> None: ...
 
@@ -100,7 +100,7 @@
 
 
 async def ask(parts: "Parts", kind: RouteKind, *, max_attempts: int) -> Refusal | None:
-    """Send a prompt through a pipeline and return why it gets no answer."""
+    """Send a prompt through a pipeline and return the refusal, if any."""
     pipeline = ForwardingPipeline(
         board=make_board("host-0", ["host-0"]),
         escrow=cast(Any, parts),
@@ -135,31 +135,31 @@
 
 
 class PrefillSampleTest(unittest.IsolatedAsyncioTestCase):
-    """Test which answers tell a target's pace."""
+    """Test which answers count as prefill samples."""
 
     async def ask(self, status: int, kind: RouteKind) -> Parts:
-        """Send a prompt that a target answers with a status."""
+        """Send a prompt that the target answers with a given status."""
         parts = Parts(status=status)
         await ask(parts, kind, max_attempts=1)
         return parts
 
-    async def test_quick_failure_is_no_reading(self) -> None:
-        """Let a target answer a long prompt with 500 within a millisecond.
+    async def test_fast_failure_is_no_prefill_sample(self) -> None:
+        """Let a target answer a long prompt with status 500 within a millisecond.
 
-        Taken for a reading, it would make the target look the fastest of all, and
-        prompts would go there to fail.
+        Counted as a sample, the failure would make the target look the fastest, and it
+        would attract more prompts.
         """
         parts = await self.ask(500, RouteKind.ONCE)
-        self.assertEqual((parts.n_prefilled, parts.n_cancelled), ([], [17_000]))
+        self.assertEqual((parts.n_prefilled, parts.n_removed), ([], [17_000]))
 
-    async def test_success_is_a_reading(self) -> None:
+    async def test_success_is_a_prefill_sample(self) -> None:
         parts = await self.ask(200, RouteKind.ONCE)
-        self.assertEqual((parts.n_prefilled, parts.n_cancelled), ([17_000], []))
+        self.assertEqual((parts.n_prefilled, parts.n_removed), ([17_000], []))
 
 
 @dataclass(kw_only=True)
 class SlowParts(Parts):
-    """Grant the hold late, and count the surveys of targets."""
+    """Grant the token hold after a delay, and count the candidate queries."""
 
     hold_s: float
     n_queries: int = 0
@@ -174,19 +174,19 @@
 
 
 class CandidateQueryTest(unittest.TestCase):
-    """Test what a choice goes by."""
+    """Test when the candidate targets are queried again."""
 
     def count_queries(self, hold_s: float) -> int:
-        """Return how often targets are surveyed for one prompt."""
+        """Return how often the candidates are queried for one prompt."""
         parts = SlowParts(status=200, hold_s=hold_s)
         run_virtually(ask(parts, RouteKind.ONCE, max_attempts=1))
         return parts.n_queries
 
-    def test_prompt_that_waited_asks_about_targets_again(self) -> None:
-        """Guard against all that waited out an outage choosing the same targets."""
+    def test_candidates_are_queried_again_after_a_long_hold(self) -> None:
+        """Guard against all requests choosing the same targets after an outage."""
         self.assertEqual(self.count_queries(2.0), 2)
 
-    def test_prompt_that_did_not_wait_asks_once(self) -> None:
+    def test_candidates_are_queried_once_after_a_short_hold(self) -> None:
         self.assertEqual(self.count_queries(0.01), 1)
 
 
@@ -195,7 +195,7 @@
 
 @dataclass(kw_only=True)
 class BlockingParts(Parts):
-    """Break off each answer; block the request after it was asked about some times."""
+    """Fail each send, and block the request after `n_passed` checks."""
 
     n_passed: int
     status: int = 200
@@ -220,26 +220,26 @@
 
     async def send(self, *_: object) -> Any:
         self.n_sent += 1
-        return Broken(reason="the target ended")
+        return Broken(reason="the target crashed")
 
 
 class BlockedTest(unittest.IsolatedAsyncioTestCase):
-    """Test when a request that crashes targets is held back."""
+    """Test when a request that crashes targets is blocked."""
 
-    async def test_blocked_request_holds_and_sends_nothing(self) -> None:
-        """Guard against a blocked request that reaches one more target."""
+    async def test_blocked_request_is_neither_held_nor_sent(self) -> None:
+        """Guard against sending a blocked request to another target."""
         parts = BlockingParts(n_passed=0)
         refusal = await ask(parts, RouteKind.IDEMPOTENT, max_attempts=2)
         self.assertEqual((refusal, parts.n_held, parts.n_sent), (BLOCKED, 0, 0))
 
-    async def test_request_blocked_while_it_waits_is_not_sent(self) -> None:
-        """Guard against one that waited for tokens while it was blocked elsewhere."""
+    async def test_request_blocked_during_its_hold_is_not_sent(self) -> None:
+        """Guard against a send when a peer host blocked it during the token hold."""
         parts = BlockingParts(n_passed=1)
         refusal = await ask(parts, RouteKind.IDEMPOTENT, max_attempts=2)
         self.assertEqual((refusal, parts.n_sent), (BLOCKED, 0))
 
-    async def test_request_blocked_under_way_is_not_repeated(self) -> None:
-        """Guard against a further target that ends, and a false "not run"."""
+    async def test_request_blocked_after_a_send_is_not_retried(self) -> None:
+        """Guard against another crash, and a false "not run" effect."""
         parts = BlockingParts(n_passed=2)
         refusal = await ask(parts, RouteKind.IDEMPOTENT, max_attempts=3)
         assert refusal is not None
--- a/tests/components/forwarding/test_placement.py
+++ b/tests/components/forwarding/test_placement.py
@@ -1,4 +1,4 @@
-"""Test where prompts go."""
+"""Test the choice of targets."""
 
 import unittest
 from collections import Counter
@@ -26,17 +26,17 @@
     subject: str = "dossier",
     *,
     work: Mapping[str, Work] | None = None,
-    keepers: tuple[str, ...] = (),
+    caching_targets: tuple[str, ...] = (),
     n_tokens: int = 12_000,
     objective_s: float = 0.8,
     targets: list[TargetEntry] = TARGETS,
 ) -> str:
-    """Return where a prompt goes of which 5,000 tokens are kept by some targets."""
+    """Return the target of a prompt of which some targets cache 5,000 tokens."""
     options = [
         TargetOption(
             target=target,
             work=(work or {}).get(target.name, IDLE),
-            n_cached_tokens=N_SHARED if target.name in keepers else 0,
+            n_cached_tokens=N_SHARED if target.name in caching_targets else 0,
             kv_tokens=KV_TOKENS,
         )
         for target in rank_candidates(targets, subject)
@@ -49,85 +49,86 @@
     """Test the choice of a target for prompts with shared parts."""
 
     def test_new_subject_goes_to_the_same_target_from_each_host(self) -> None:
-        """Place a subject that nobody keeps, with the targets listed in any order.
+        """Place an uncached subject, with the targets in a different order.
 
-        Two hosts that get its first two requests at once then read it once only.
+        If two hosts get the first two requests at once, the subject is processed on
+        only one target.
         """
         self.assertEqual(place(), place(targets=TARGETS[::-1]))
 
     def test_subjects_spread_over_the_targets(self) -> None:
-        """Place 900 subjects on nine idle targets; none gets twice its share."""
+        """Place 900 subjects on nine idle targets; no target gets twice its share."""
         counts = Counter(place(f"dossier-{number}") for number in range(900))
         self.assertEqual(len(counts), 9)
         self.assertLess(max(counts.values()), 200)
 
-    def test_new_subject_goes_where_least_waits(self) -> None:
-        """Let all targets but one read a short prompt; the free one is taken.
+    def test_new_subject_goes_to_the_shortest_queue(self) -> None:
+        """Let all targets except one process a short prompt; the idle one is chosen.
 
-        Sent to a home that its name alone chose, half of all long prompts waited
-        behind others while targets stood idle.
+        When only the name of the subject decided, half of all long prompts waited
+        behind others while other targets were idle.
         """
         busy = {target.name: Work(prompt_tokens=3_000) for target in TARGETS[:-1]}
         self.assertEqual(place(work=busy), TARGETS[-1].name)
 
-    def test_subject_keeps_its_target(self) -> None:
-        """Place a subject that one target keeps, beside idle ones."""
+    def test_cached_subject_stays_at_its_target(self) -> None:
+        """Place a subject that only one target has cached, with all targets idle."""
         for target in TARGETS:
-            self.assertEqual(place(keepers=(target.name,)), target.name)
+            self.assertEqual(place(caching_targets=(target.name,)), target.name)
 
-    def test_busy_keeper_is_left_for_the_soonest(self) -> None:
-        """Let the keeper read 60,000 tokens first, a second of its time.
+    def test_busy_caching_target_is_avoided(self) -> None:
+        """Let the caching target have 60,000 tokens queued, one second of prefill.
 
-        The caller's objective is 0.8 s, so the prompt goes where it is read at
-        once, although its shared part has to be read again there.
+        The caller's objective is 0.8 s. The prompt goes to an idle target, although
+        its shared part has to be processed again there.
         """
         work = {"engine-3": Work(n_requests=1, prompt_tokens=60_000)}
-        self.assertNotEqual(place(work=work, keepers=("engine-3",)), "engine-3")
+        self.assertNotEqual(place(work=work, caching_targets=("engine-3",)), "engine-3")
 
-    def test_short_wait_at_the_keeper_is_taken(self) -> None:
-        """Let the keeper read 12,000 tokens first; the prompt is in time there."""
+    def test_short_queue_at_the_caching_target_is_accepted(self) -> None:
+        """Let the caching target have 12,000 tokens queued; the prompt is in time."""
         work = {"engine-3": Work(n_requests=3, prompt_tokens=12_000)}
-        self.assertEqual(place(work=work, keepers=("engine-3",)), "engine-3")
+        self.assertEqual(place(work=work, caching_targets=("engine-3",)), "engine-3")
 
-    def test_prompt_that_is_late_anywhere_keeps_its_target(self) -> None:
-        """Place a prompt that no target reads in time; it need not wander."""
-        found = place(keepers=("engine-3",), n_tokens=60_000)
-        self.assertEqual(found, "engine-3")
+    def test_prompt_that_is_late_everywhere_stays_at_its_target(self) -> None:
+        """Place a prompt that is late at all targets; the cached subject decides."""
+        chosen = place(caching_targets=("engine-3",), n_tokens=60_000)
+        self.assertEqual(chosen, "engine-3")
 
-    def test_keeper_without_a_free_slot_is_left(self) -> None:
-        """Guard against prompts that queue for a slot while other targets idle."""
+    def test_caching_target_without_a_free_slot_is_avoided(self) -> None:
+        """Guard against prompts that wait for a slot while other targets are idle."""
         work = {"engine-3": Work(n_requests=TARGETS[3].slots)}
-        self.assertNotEqual(place(work=work, keepers=("engine-3",)), "engine-3")
+        self.assertNotEqual(place(work=work, caching_targets=("engine-3",)), "engine-3")
 
-    def test_keeper_whose_memory_is_taken_is_left(self) -> None:
-        """Guard against prompts that push each other out of one target's memory."""
+    def test_caching_target_with_full_memory_is_avoided(self) -> None:
+        """Guard against prompts that evict each other from one target's memory."""
         work = {"engine-3": Work(n_requests=32, held_tokens=380_000)}
-        self.assertNotEqual(place(work=work, keepers=("engine-3",)), "engine-3")
+        self.assertNotEqual(place(work=work, caching_targets=("engine-3",)), "engine-3")
 
-    def test_prompt_that_finds_all_targets_full_keeps_its_target(self) -> None:
-        """Fill all targets; reading the subject once more would not help."""
+    def test_prompt_stays_at_its_target_if_all_are_full(self) -> None:
+        """Fill all targets; processing the subject again elsewhere would not help."""
         work = {target.name: Work(held_tokens=KV_TOKENS) for target in TARGETS}
-        self.assertEqual(place(work=work, keepers=("engine-3",)), "engine-3")
+        self.assertEqual(place(work=work, caching_targets=("engine-3",)), "engine-3")
 
-    def test_late_prompt_goes_where_there_is_room(self) -> None:
-        """Guard against a subject of 60,000 tokens that all wait for at one target."""
+    def test_late_prompt_goes_to_a_target_with_room(self) -> None:
+        """Guard against requests for 60,000 tokens that all wait at one target."""
         work = {"engine-3": Work(n_requests=6, held_tokens=360_000)}
-        found = place(work=work, keepers=("engine-3",), n_tokens=60_000)
-        self.assertNotEqual(found, "engine-3")
+        chosen = place(work=work, caching_targets=("engine-3",), n_tokens=60_000)
+        self.assertNotEqual(chosen, "engine-3")
 
-    def test_second_keeper_takes_over(self) -> None:
-        """Let two targets keep a subject, the first of them being busy."""
+    def test_second_caching_target_takes_over(self) -> None:
+        """Let two targets have a subject cached, of which the first is busy."""
         work = {"engine-3": Work(prompt_tokens=20_000)}
-        found = place(work=work, keepers=("engine-3", "engine-5"))
-        self.assertEqual(found, "engine-5")
+        chosen = place(work=work, caching_targets=("engine-3", "engine-5"))
+        self.assertEqual(chosen, "engine-5")
 
-    def test_all_hosts_rank_the_targets_for_a_subject_alike(self) -> None:
-        first = rank_candidates(TARGETS, "dossier")
-        again = rank_candidates(TARGETS[::-1], "dossier")
-        self.assertEqual(first, again)
+    def test_all_hosts_rank_targets_in_the_same_order(self) -> None:
+        ranked = rank_candidates(TARGETS, "dossier")
+        ranked_again = rank_candidates(TARGETS[::-1], "dossier")
+        self.assertEqual(ranked, ranked_again)
 
     def test_subject_is_the_last_shared_part(self) -> None:
-        """Leave out the last part, which belongs to the request itself."""
+        """Skip the last part, which is specific to the request."""
         parts = [
             PromptPart(name="system", n_tokens=500),
             PromptPart(name="dossier", n_tokens=4_500),
@@ -139,10 +140,10 @@
 
 
 class LoadPlacementTest(unittest.TestCase):
-    """Test the choice of a target for plain calls."""
+    """Test the choice of a target for requests without a prompt."""
 
-    def test_least_loaded_goes_first_then_the_near(self) -> None:
-        """Prefer fewer requests to a short way, and a short way among equals."""
+    def test_least_loaded_target_is_preferred_then_the_nearest(self) -> None:
+        """Prefer fewer requests, then a target in this data center."""
         far = make_target("far", data_center="quimper")
         near = make_target("near")
         options = [
--- a/tests/components/forwarding/test_prompt_cache.py
+++ b/tests/components/forwarding/test_prompt_cache.py
@@ -1,4 +1,4 @@
-"""Test what targets are believed to have in memory."""
+"""Test the prediction of the targets' cached prompt parts."""
 
 import unittest
 
@@ -7,36 +7,36 @@
 
 
 def make_prompt(*names: str, n_tokens: int = 1_000) -> tuple[PromptPart, ...]:
-    """Return a prompt of parts of 1,000 tokens."""
+    """Return a prompt of parts with 1,000 tokens each by default."""
     return tuple(PromptPart(name=name, n_tokens=n_tokens) for name in names)
 
 
 class PromptCacheTest(unittest.TestCase):
-    """Test the memory of one target."""
+    """Test the cache of one target."""
 
     def setUp(self) -> None:
-        """Have room for four parts."""
+        """Create a cache for four parts."""
         self.cache = PromptCache(capacity_tokens=4_000)
 
-    def test_leading_parts_count_as_far_as_they_are_kept(self) -> None:
-        """Keep the first two parts of three; a part behind a gap is read again."""
+    def test_leading_cached_parts_count(self) -> None:
+        """Count the first two of three parts, none after a missing part."""
         self.cache.add(make_prompt("system", "dossier", "own-1"))
         self.assertEqual(
             self.cache.count_cached(make_prompt("system", "dossier", "own-2")), 2_000
         )
         self.assertEqual(self.cache.count_cached(make_prompt("other", "dossier")), 0)
 
-    def test_least_recently_used_part_goes_first(self) -> None:
-        """Read five parts with room for four, one of them again in between."""
+    def test_least_recently_used_part_is_evicted_first(self) -> None:
+        """Add five parts to a cache for four, one of them a second time."""
         for name in ("a", "b", "c", "d", "a", "e"):
             self.cache.add(make_prompt(name))
-        kept = [
+        cached = [
             name for name in "abcde" if self.cache.count_cached(make_prompt(name)) > 0
         ]
-        self.assertEqual(kept, ["a", "c", "d", "e"])
+        self.assertEqual(cached, ["a", "c", "d", "e"])
 
-    def test_prompt_above_the_room_leaves_no_debt(self) -> None:
-        """Read a part larger than the memory, then small ones."""
+    def test_prompt_above_the_capacity_is_evicted(self) -> None:
+        """Add a part larger than the cache, then small ones."""
         self.cache.add(make_prompt("huge", n_tokens=9_000))
         for name in ("a", "b"):
             self.cache.add(make_prompt(name))
@@ -45,10 +45,10 @@
 
 
 class PromptCachesTest(unittest.TestCase):
-    """Test the memory of all targets."""
+    """Test the caches of all targets."""
 
-    def test_restarted_target_keeps_nothing(self) -> None:
-        """Forget a target's former incarnation; the new one has read nothing."""
+    def test_restarted_target_has_an_empty_cache(self) -> None:
+        """Remove a target's previous incarnation; the new one has nothing cached."""
         caches = PromptCaches()
         caches.add("i-1@1000", 10_000, make_prompt("a"))
         caches.keep_only({"i-1@2000"})
--- a/tests/components/forwarding/test_routes.py
+++ b/tests/components/forwarding/test_routes.py
@@ -1,4 +1,4 @@
-"""Test that a request goes where the longest prefix says."""
+"""Test that the route with the longest prefix is chosen."""
 
 import unittest
 
@@ -7,10 +7,10 @@
 
 
 class RouteTableTest(unittest.TestCase):
-    """Test the match of hosts and paths."""
+    """Test matching of host names and paths."""
 
     def setUp(self) -> None:
-        """Make a table of nested prefixes."""
+        """Create a table with nested prefixes."""
         self.table = RouteTable(
             routes=[
                 make_route("/a/"),
@@ -20,23 +20,23 @@
         )
 
     def match(self, host: str, path: str) -> str | None:
-        """Return the name of the route that a path meets."""
+        """Return the name of the matching route, None without one."""
         route = self.table.match(host, path)
         return route.name if route else None
 
     def test_longest_prefix_wins(self) -> None:
-        """Match the inner of two prefixes, and the outer beside it."""
+        """Match the longer of two prefixes, and the shorter for other paths."""
         self.assertEqual(self.match("club.example", "/a/b/c"), "/a/b/")
         self.assertEqual(self.match("club.example", "/a/bc"), "/a/")
         self.assertEqual(self.match("club.example", "/a/"), "/a/")
 
     def test_no_route_for_other_paths_and_hosts(self) -> None:
-        """Match nothing where no prefix begins the path."""
+        """Return no route if no prefix matches."""
         self.assertIsNone(self.match("club.example", "/b"))
         self.assertIsNone(self.match("club.example", "/a"))
         self.assertIsNone(self.match("nobody.example", "/a/"))
         self.assertIsNone(self.match("club.example", ""))
 
-    def test_root_prefix_takes_every_path_of_its_host(self) -> None:
-        """Match the root prefix of another host."""
+    def test_root_prefix_matches_every_path_of_its_host(self) -> None:
+        """Match any path with the root prefix of another host name."""
         self.assertEqual(self.match("other.example", "/x/y"), "/")
--- a/tests/components/forwarding/test_server.py
+++ b/tests/components/forwarding/test_server.py
@@ -1,4 +1,4 @@
-"""Test whom a host with a full link takes and whom it sends on."""
+"""Test which requests a host with a full link accepts."""
 
 import asyncio
 import unittest
@@ -11,10 +11,10 @@
 
 
 class FullLinkTest(unittest.IsolatedAsyncioTestCase):
-    """Test a host whose calls to peers all take 0.5 s."""
+    """Test a host whose peer calls take 0.5 s."""
 
     def setUp(self) -> None:
-        """Make a server of a host with four peers."""
+        """Create the server of a host with four peers."""
         self.board = make_board("host-0", [f"host-{number}" for number in range(5)])
         self.server = ForwardingServer(
             board=self.board,
@@ -23,8 +23,8 @@
             pipeline=mock.Mock(),
         )
 
-    def fill(self, seconds: float) -> float:
-        """Let calls take a time; return the time of day."""
+    def record_round_trips(self, seconds: float) -> float:
+        """Record round trips of a given time; return the current loop time."""
         now = asyncio.get_running_loop().time()
         for peer in self.board.peers.values():
             peer.last_heard = now
@@ -32,43 +32,45 @@
             self.board.round_trips.note_answer(seconds, now)
         return now
 
-    async def ask_ready(self) -> int:
-        """Return the status of the balancer's question."""
+    async def check_ready(self) -> int:
+        """Return the status of a readiness check."""
         request: Any = mock.Mock()
         return (await self.server._handle_ready(request)).status
 
-    async def test_callers_are_sent_on_once_the_balancer_has_left(self) -> None:
-        """Fill the link and let the balancer ask twice.
+    async def test_callers_are_refused_after_the_balancer_removed_the_host(
+        self,
+    ) -> None:
+        """Fill the link and let the load balancer check readiness twice.
 
-        Refused before that, a caller would be sent to this host again, and after one
-        more refusal it would have nothing.
+        A caller refused earlier would be sent to this host again, and would get no
+        answer after another refusal.
         """
-        now = self.fill(0.5)
+        now = self.record_round_trips(0.5)
         self.assertFalse(self.server._should_send_elsewhere(0.6, now))
-        self.assertEqual(await self.ask_ready(), 503)
+        self.assertEqual(await self.check_ready(), 503)
         self.assertFalse(self.server._should_send_elsewhere(0.6, now))
-        self.assertEqual(await self.ask_ready(), 503)
+        self.assertEqual(await self.check_ready(), 503)
         self.assertTrue(self.server._should_send_elsewhere(0.6, now))
 
-    async def test_callers_with_time_are_taken(self) -> None:
-        now = self.fill(0.5)
+    async def test_callers_with_a_long_objective_are_accepted(self) -> None:
+        now = self.record_round_trips(0.5)
         for _ in range(2):
-            await self.ask_ready()
+            await self.check_ready()
         self.assertFalse(self.server._should_send_elsewhere(10.0, now))
 
-    async def test_host_comes_back_when_its_link_has_room(self) -> None:
-        self.fill(0.5)
+    async def test_host_is_ready_again_when_its_link_has_room(self) -> None:
+        self.record_round_trips(0.5)
         for _ in range(2):
-            await self.ask_ready()
-        now = self.fill(0.002)
-        self.assertEqual(await self.ask_ready(), 200)
+            await self.check_ready()
+        now = self.record_round_trips(0.002)
+        self.assertEqual(await self.check_ready(), 200)
         self.assertFalse(self.server._should_send_elsewhere(0.6, now))
 
-    async def test_callers_are_taken_where_others_stand_no_better(self) -> None:
-        now = self.fill(0.5)
+    async def test_callers_are_accepted_if_the_peers_links_are_full_too(self) -> None:
+        now = self.record_round_trips(0.5)
         for peer in self.board.peers.values():
             peer.link_full = True
-        self.assertEqual(await self.ask_ready(), 200)
+        self.assertEqual(await self.check_ready(), 200)
         self.assertFalse(self.server._should_send_elsewhere(0.6, now))
 
 
--- a/tests/components/forwarding/test_targets.py
+++ b/tests/components/forwarding/test_targets.py
@@ -1,4 +1,4 @@
-"""Test what the chooser keeps of targets."""
+"""Test what the chooser stores about targets."""
 
 import unittest
 from collections.abc import Sequence
@@ -24,10 +24,10 @@
 
 
 class TargetChooserTest(unittest.IsolatedAsyncioTestCase):
-    """Test a chooser over a board with one target."""
+    """Test a chooser on a host without peers."""
 
     def setUp(self) -> None:
-        """Make a chooser without peers."""
+        """Create a chooser and its workload controller."""
         self.board = make_board("host-0", ["host-0"])
         timer = ManualTimer()
         timer.time = 10.0
@@ -49,7 +49,7 @@
         )
 
     def choose(self) -> str:
-        """Return the incarnation that a call without a prompt goes to."""
+        """Return the incarnation chosen for a request without a prompt."""
         target = self.chooser.choose(
             service="assistant",
             excluded=set(),
@@ -61,7 +61,7 @@
         return target.incarnation if target else ""
 
     def choose_for(self, prompt: Sequence[PromptPart]) -> str:
-        """Return the incarnation that a prompt goes to."""
+        """Return the incarnation chosen for a prompt."""
         need = PromptNeed(subject="dossier", n_tokens=60_000, objective_s=10.0)
         target = self.chooser.choose(
             service="assistant",
@@ -73,8 +73,8 @@
         )
         return target.incarnation if target else ""
 
-    async def test_restarted_target_is_forgiven(self) -> None:
-        """Eject a target, then let it start again under its name beside another."""
+    async def test_restart_clears_an_ejection(self) -> None:
+        """Eject a target, then restart it under the same name."""
         old = make_target("i-1", started_ms=1)
         self.board.targets.add(old)
         self.board.targets.add(make_target("i-2", started_ms=1))
@@ -85,11 +85,11 @@
         self.board.targets.add(make_target("i-1", started_ms=2))
         self.assertEqual(self.choose(), "i-1@2")
 
-    async def test_target_that_started_by_a_clock_set_back_gets_work(self) -> None:
-        """Start a target again at a new address, with an earlier start by its clock.
+    async def test_target_restarted_with_its_clock_set_back_is_used(self) -> None:
+        """Restart a target at a new address, with its clock set back.
 
-        The first request meets nobody at the old address, and goes to the new one
-        next: it is the target's only entry, and would never have been used.
+        Its new entry has an earlier start time and would never be used. The first
+        request finds no target at the old address, and the next one uses the new entry.
         """
         old = make_target("i-1", started_ms=5_000)
         self.board.targets.add(old)
@@ -100,16 +100,18 @@
         self.chooser.record_answer(old, NotSent(reason="refused", unreachable=True))
         self.assertEqual(self.choose(), "i-1@3000")
 
-    async def test_ended_targets_are_forgotten(self) -> None:
-        """Let a target restart a hundred times; one health is kept."""
+    async def test_health_of_ended_targets_is_removed(self) -> None:
+        """Restart a target a hundred times; health records do not accumulate."""
         for number in range(100):
             target = make_target("i-1", started_ms=number)
             self.board.targets.add(target)
             self.chooser.add_request(target, (), CandidateInfo())
         self.assertLessEqual(len(self.chooser._healths), 2)
 
-    async def test_subject_that_another_host_sent_is_not_counted_as_work(self) -> None:
-        """Guard against a target that looks busy with what it has in memory."""
+    async def test_tokens_cached_by_a_peers_prompt_are_not_counted_as_work(
+        self,
+    ) -> None:
+        """Guard against counting cached tokens as pending prefill."""
         target = make_target("i-1")
         prompt = (
             PromptPart(name="dossier", n_tokens=13_000),
@@ -121,8 +123,8 @@
         work = self.workload.get_work(target.incarnation)
         self.assertEqual(work.prompt_tokens, 4_000)
 
-    async def test_memory_is_held_until_the_request_ends(self) -> None:
-        """Guard against targets that look full, or free, whatever runs there."""
+    async def test_memory_counts_until_the_request_ends(self) -> None:
+        """Guard against memory that is released too early or never."""
         target = make_target("i-1")
         prompt = (PromptPart(name="own", n_tokens=17_000),)
         sent = self.chooser.add_request(target, prompt, CandidateInfo())
@@ -132,8 +134,8 @@
         self.chooser.remove_request(target, prompt)
         self.assertEqual(self.workload.get_work(target.incarnation), Work())
 
-    async def test_target_whose_memory_is_taken_is_left(self) -> None:
-        """Guard against a configured memory that the choice does not see."""
+    async def test_target_with_full_memory_is_avoided(self) -> None:
+        """Guard against a choice that ignores the configured KV cache size."""
         engine = Engine(slots=64, kv_tokens=100_000, tokens_per_event=5)
         service = ServiceConfig(
             name="assistant", health_path="/", max_connections=10, engine=engine
--- a/tests/components/forwarding/test_workload.py
+++ b/tests/components/forwarding/test_workload.py
@@ -1,4 +1,4 @@
-"""Test that hosts know each other's work at the targets, in small and large fleets."""
+"""Test the exchange of work at the targets in small and large fleets."""
 
 import unittest
 from typing import Any
@@ -30,7 +30,7 @@
 
 
 class Network:
-    """Carry messages between workload controllers, and count them."""
+    """Deliver messages between workload controllers, and count reports."""
 
     def __init__(self, n_hosts: int) -> None:
         self.timer = ManualTimer()
@@ -40,24 +40,24 @@
         self.n_reports = 0
 
     def make(self, name: str) -> WorkloadController:
-        """Return the controller of one host that has heard all others."""
+        """Return the controller of one host that received all peers' heartbeats."""
         workload = WorkloadController(
             board=make_board(name, self.names),
             links=self,  # type: ignore[arg-type]
             server=PeerServer(address="127.0.0.1", port=0, codec=FLEET_CODEC),
             timer=self.timer,
         )
-        workload.add_future = self.run_now  # type: ignore[assignment,method-assign]
+        workload.add_future = self.queue_coroutine  # type: ignore[assignment,method-assign]
         self.waiting: list[Any] = []
         return workload
 
-    def list_target(self, name: str) -> None:
-        """List a target at all hosts."""
+    def register_target(self, name: str) -> None:
+        """Register a target on all hosts."""
         for workload in self.workloads.values():
             workload._board.targets.add(make_target(name))
 
-    def run_now(self, coroutine: Any) -> Any:
-        """Keep what a controller starts, to run it within the test."""
+    def queue_coroutine(self, coroutine: Any) -> Any:
+        """Queue a controller's coroutine, to run it within the test."""
         self.waiting.append(coroutine)
         return coroutine
 
@@ -66,18 +66,18 @@
         return Link(network=self, name=url)
 
     async def report(self, name: str) -> None:
-        """Let a host report its changes, and deliver them."""
+        """Let a host report its changes, and deliver the reports."""
         await self.workloads[name]._report()
         while self.waiting:
             await self.waiting.pop()
 
 
 class RecordedQueries:
-    """Note which targets a chooser of a large fleet asks about."""
+    """Record which targets a chooser in a large fleet queries."""
 
     def __init__(self, work: Work) -> None:
         self.work = work
-        self.asked: list[list[str]] = []
+        self.queried: list[list[str]] = []
         board = make_board("host-0", [f"host-{number}" for number in range(20)])
         for number in range(30):
             board.targets.add(make_target(f"i-{number}"))
@@ -95,22 +95,22 @@
         )
 
     async def query_homes(self, targets: list[str], _: object) -> dict[str, int]:
-        """Note what is asked about; nobody has anything in memory."""
-        self.asked.append(targets)
+        """Record the queried targets; no target has anything cached."""
+        self.queried.append(targets)
         return {}
 
-    async def ask(self) -> list[int]:
-        """Return how many targets are asked about for one prompt, call by call."""
+    async def query(self) -> list[int]:
+        """Return the number of targets queried for one prompt, by call."""
         need = PromptNeed(subject="dossier", n_tokens=12_000, objective_s=0.8)
         await self.chooser.query_candidates("assistant", need, ())
-        return [len(names) for names in self.asked]
+        return [len(names) for names in self.queried]
 
 
 class FullLinkTest(unittest.IsolatedAsyncioTestCase):
-    """Test what a host of a large fleet learns of targets over a full link."""
+    """Test the query timeout of a host in a large fleet."""
 
-    async def ask(self, trip_s: float) -> float:
-        """Return how long a host waits for an answer about a target's work."""
+    async def query(self, trip_s: float) -> float:
+        """Return the timeout of the queries to home hosts."""
         board = make_board("host-0", [f"host-{number}" for number in range(20)])
         timer = ManualTimer()
         for _ in range(N_CALLS):
@@ -127,23 +127,23 @@
         calls = link.call.await_args_list
         return float(max(call.kwargs["timeout_s"] for call in calls))
 
-    async def test_answers_are_waited_for_as_long_as_the_hold_takes(self) -> None:
-        """Ask over a link on which each call takes 0.3 s.
+    async def test_query_timeout_grows_with_the_round_trip(self) -> None:
+        """Query over a link on which each call takes 0.3 s.
 
-        Given up after 0.05 s, the busiest hosts of a fleet chose targets without
-        knowing of any work but their own.
+        With a timeout of 0.05 s, the busiest hosts of a fleet chose targets without
+        knowing the work of their peers.
         """
-        self.assertGreater(await self.ask(0.3), 0.3)
+        self.assertGreater(await self.query(0.3), 0.3)
 
-    async def test_answers_are_soon_given_up_on_a_link_with_room(self) -> None:
-        self.assertEqual(await self.ask(0.002), 0.05)
+    async def test_query_timeout_is_short_on_a_link_with_room(self) -> None:
+        self.assertEqual(await self.query(0.002), 0.05)
 
 
 class OutdatedCandidateInfoTest(unittest.TestCase):
-    """Test when a host of a large fleet asks about targets once more."""
+    """Test when a host in a large fleet queries the candidates again."""
 
-    def should_ask(self, *, n_hosts: int, trip_s: float, age_s: float) -> bool:
-        """Return whether to ask again over a link, some time after the last answer."""
+    def should_query(self, *, n_hosts: int, trip_s: float, age_s: float) -> bool:
+        """Return whether a host queries again, `age_s` after the last query."""
         network = Network(n_hosts)
         workload = network.workloads["host-0"]
         board = workload._board
@@ -159,23 +159,23 @@
         network.timer.time = age_s
         return chooser.should_query_again(0.0)
 
-    def test_old_answers_are_asked_for_again(self) -> None:
-        self.assertTrue(self.should_ask(n_hosts=66, trip_s=0.002, age_s=1.0))
-        self.assertFalse(self.should_ask(n_hosts=66, trip_s=0.002, age_s=0.1))
+    def test_outdated_information_is_queried_again(self) -> None:
+        self.assertTrue(self.should_query(n_hosts=66, trip_s=0.002, age_s=1.0))
+        self.assertFalse(self.should_query(n_hosts=66, trip_s=0.002, age_s=0.1))
 
-    def test_small_fleet_knows_without_asking(self) -> None:
-        self.assertFalse(self.should_ask(n_hosts=7, trip_s=0.002, age_s=1.0))
+    def test_small_fleet_needs_no_query(self) -> None:
+        self.assertFalse(self.should_query(n_hosts=7, trip_s=0.002, age_s=1.0))
 
-    def test_full_link_is_not_loaded_further(self) -> None:
-        """Guard against late prompts that wait for one more answer on a full link."""
-        self.assertFalse(self.should_ask(n_hosts=66, trip_s=0.4, age_s=1.0))
+    def test_full_link_gets_no_more_queries(self) -> None:
+        """Guard against late prompts that wait for another reply on a full link."""
+        self.assertFalse(self.should_query(n_hosts=66, trip_s=0.4, age_s=1.0))
 
 
 class OlderHostTest(unittest.TestCase):
-    """Test what a host takes from one of an older version."""
+    """Test reports from a host of an older version."""
 
-    def test_report_without_memory_counts_none(self) -> None:
-        """Guard against reports that are refused while a fleet is being replaced."""
+    def test_report_without_held_tokens_counts_none(self) -> None:
+        """Guard against reports that are rejected during a rolling upgrade."""
         report = WorkReport(host="host-1", work={"i-1": Work(n_requests=2)})
         wire = cbor2.loads(
             FLEET_CODEC.encode(Frame(number=1, reply=False, body=report))
@@ -186,22 +186,22 @@
 
 
 class CandidateQueryTest(unittest.IsolatedAsyncioTestCase):
-    """Test how many targets are asked about for a prompt."""
+    """Test how many targets are queried for a prompt."""
 
-    async def test_few_targets_are_asked_in_a_large_fleet(self) -> None:
-        self.assertEqual(await RecordedQueries(Work()).ask(), [3])
+    async def test_few_targets_are_queried_at_first(self) -> None:
+        self.assertEqual(await RecordedQueries(Work()).query(), [3])
 
-    async def test_more_targets_are_asked_while_a_prompt_would_be_late(self) -> None:
-        """Let 60,000 tokens wait at each target; reading them takes 1 s."""
+    async def test_more_targets_are_queried_while_a_prompt_would_be_late(self) -> None:
+        """Let each target have 60,000 tokens queued, 1 s of prefill."""
         queries = RecordedQueries(Work(prompt_tokens=60_000))
-        self.assertEqual(await queries.ask(), [3, 3, 6, 12])
-        names = [name for call in queries.asked for name in call]
+        self.assertEqual(await queries.query(), [3, 3, 6, 12])
+        names = [name for call in queries.queried for name in call]
         self.assertEqual(len(set(names)), MAX_CANDIDATES)
 
-    async def test_more_targets_are_asked_while_those_known_are_full(self) -> None:
-        """Guard against a subject that waits for three targets while others idle."""
+    async def test_more_targets_are_queried_while_known_ones_are_full(self) -> None:
+        """Guard against requests that wait for three targets while others are idle."""
         queries = RecordedQueries(Work(n_requests=make_target("i-0").slots))
-        self.assertEqual(await queries.ask(), [3, 3, 6, 12])
+        self.assertEqual(await queries.query(), [3, 3, 6, 12])
 
 
 class Link:
@@ -217,16 +217,16 @@
         await self.network.workloads[self.name]._receive_report(message)
 
     async def call(self, message: WorkQuery, *, timeout_s: float) -> Any:
-        """Deliver a question and return its answer."""
+        """Deliver a query and return the reply."""
         if self.name in self.network.down:
             raise PeerUnavailableError("down")
         return await self.network.workloads[self.name]._answer_query(message)
 
 
 class WorkloadTest(unittest.IsolatedAsyncioTestCase):
-    """Test what one host knows of the others' work."""
+    """Test what one host knows about its peers' work."""
 
-    async def test_small_fleet_tells_all(self) -> None:
+    async def test_small_fleet_reports_to_all_peers(self) -> None:
         network = Network(7)
         network.workloads["host-0"].adjust_work("i-1", n_requests=1, prompt_tokens=900)
         await network.report("host-0")
@@ -234,56 +234,56 @@
         work = network.workloads["host-3"].get_work("i-1")
         self.assertEqual((work.n_requests, work.prompt_tokens), (1, 900))
 
-    async def test_large_fleet_asks_the_gathering_host(self) -> None:
-        """Let two of 66 hosts send prompts to one target; a third asks before it does.
+    async def test_large_fleet_queries_the_home(self) -> None:
+        """Let two of 66 hosts send prompts to one target; a third queries its home.
 
-        Each tells one host only, and the third learns of both. Told to all, the
-        reports of 66 hosts took more than their processors had.
+        Each host reports to the home only, and the third host gets the work of both.
+        When 66 hosts reported to all peers, the reports exceeded their processor time.
         """
         network = Network(66)
         for name in ("host-0", "host-1"):
             network.workloads[name].adjust_work("i-1", n_requests=1, prompt_tokens=900)
             await network.report(name)
         self.assertLessEqual(network.n_reports, 2)
-        asking = network.workloads["host-2"]
-        await asking.query_homes(["i-1"], ())
-        work = asking.get_work("i-1")
+        peer = network.workloads["host-2"]
+        await peer.query_homes(["i-1"], ())
+        work = peer.get_work("i-1")
         self.assertEqual((work.n_requests, work.prompt_tokens), (2, 1_800))
 
-    async def test_ended_work_is_told_too(self) -> None:
-        """End a request; the next host to ask must not count it any more."""
+    async def test_ended_work_is_reported(self) -> None:
+        """End a request; the next host that queries must not count it."""
         network = Network(66)
         own = network.workloads["host-0"]
         own.adjust_work("i-1", n_requests=1, prompt_tokens=900)
         await network.report("host-0")
         own.adjust_work("i-1", n_requests=-1, prompt_tokens=-900)
         await network.report("host-0")
-        asking = network.workloads["host-2"]
-        await asking.query_homes(["i-1"], ())
-        self.assertEqual(asking.get_work("i-1").n_requests, 0)
+        peer = network.workloads["host-2"]
+        await peer.query_homes(["i-1"], ())
+        self.assertEqual(peer.get_work("i-1").n_requests, 0)
 
-    async def test_prompts_are_known_to_all_of_a_small_fleet(self) -> None:
-        """Send a prompt from one host; another finds its parts kept at the target."""
+    async def test_prompts_are_reported_to_all_peers_of_a_small_fleet(self) -> None:
+        """Send a prompt from one host; a peer counts its parts as cached."""
         network = Network(7)
         prompt = (PromptPart(name="dossier", n_tokens=900),)
-        network.list_target("i-1")
+        network.register_target("i-1")
         network.workloads["host-0"].add_prompt("i-1@0", 10_000, prompt)
         await network.report("host-0")
         await network.report("host-3")
         self.assertEqual(network.workloads["host-3"].count_cached("i-1@0", prompt), 900)
 
-    async def test_gathering_host_tells_what_a_target_keeps(self) -> None:
-        """Send a prompt from one of 66 hosts; another asks before it sends its own."""
+    async def test_home_returns_cached_tokens(self) -> None:
+        """Send a prompt from one of 66 hosts; a peer queries the target's home."""
         network = Network(66)
         prompt = (PromptPart(name="dossier", n_tokens=900),)
-        network.list_target("i-1")
+        network.register_target("i-1")
         network.workloads["host-0"].add_prompt("i-1@0", 10_000, prompt)
         await network.report("host-0")
-        kept = await network.workloads["host-2"].query_homes(["i-1@0"], prompt)
-        self.assertEqual(kept.get("i-1@0"), 900)
+        cached_tokens = await network.workloads["host-2"].query_homes(["i-1@0"], prompt)
+        self.assertEqual(cached_tokens.get("i-1@0"), 900)
 
-    async def test_long_request_is_known_while_it_runs(self) -> None:
-        """Guard against targets that look idle 1.5 s after their last request came."""
+    async def test_long_request_counts_while_it_runs(self) -> None:
+        """Guard against targets that look idle 1.5 s after their last new request."""
         for n_hosts in (7, 66):
             network = Network(n_hosts)
             network.workloads["host-0"].adjust_work(
@@ -292,11 +292,11 @@
             for _ in range(20):
                 network.timer.time += 0.1
                 await network.report("host-0")
-            asking = network.workloads["host-2"]
-            await asking.query_homes(["i-1"], ())
-            self.assertEqual(asking.get_work("i-1").held_tokens, 17_000, n_hosts)
+            peer = network.workloads["host-2"]
+            await peer.query_homes(["i-1"], ())
+            self.assertEqual(peer.get_work("i-1").held_tokens, 17_000, n_hosts)
 
-    async def test_hosts_and_targets_that_are_gone_are_forgotten(self) -> None:
+    async def test_data_of_ended_hosts_and_targets_is_removed(self) -> None:
         """Guard against memory that grows with each replaced host and target."""
         network = Network(66)
         workload = network.workloads["host-2"]
@@ -311,14 +311,14 @@
         self.assertEqual(workload._peer_work.reports, {})
         self.assertEqual(workload._home_totals.totals, {})
 
-    async def test_silent_gathering_host_holds_nothing_up(self) -> None:
-        """Ask a host that does not answer; the choice goes by own work."""
+    async def test_home_that_does_not_respond_is_ignored(self) -> None:
+        """Query a host that does not respond; the host's own work still counts."""
         network = Network(66)
-        asking = network.workloads["host-2"]
-        asking.adjust_work("i-1", n_requests=1)
+        peer = network.workloads["host-2"]
+        peer.adjust_work("i-1", n_requests=1)
         network.down = set(network.names)
-        await asking.query_homes(["i-1"], ())
-        self.assertEqual(asking.get_work("i-1").n_requests, 1)
+        await peer.query_homes(["i-1"], ())
+        self.assertEqual(peer.get_work("i-1").n_requests, 1)
 
 
 if __name__ == "__main__":
--- a/trefoilstage/components/forwarding/workload.py
+++ b/trefoilstage/components/forwarding/workload.py
@@ -203,13 +203,13 @@
             target: self._caches.count_cached(target, message.prompt)
             for target in message.targets
         }
-        readings = {
+        totals = {
             target: self._prefill_speeds.get_totals(
                 target, now, except_host=message.host
             )
             for target in message.targets
         }
-        return WorkTotals(work=work, kept=cached_tokens, readings=readings)
+        return WorkTotals(work=work, kept=cached_tokens, readings=totals)
 
     def _sum_work_except(self, target: str, now: float, except_host: str) -> Work:
         own = self._own.get(target, NO_WORK)
@@ -238,11 +238,11 @@
     async def _report(self) -> None:
         now = self._timer.now()
         self._remove_expired(now)
-        readings = self._prefill_speeds.pop_changed(now)
+        totals = self._prefill_speeds.pop_changed(now)
         changed = self._find_changed(now)
         prompts, self._unreported_prompts = self._unreported_prompts, []
         changed.update(sent.target for sent in prompts)
-        changed.update(readings)
+        changed.update(totals)
         if not changed:
             return
         self._reported = dict(self._own)
@@ -253,7 +253,7 @@
                 report = WorkReport(
                     host=self._board.host,
                     work=work,
-                    readings=self._select_totals(readings, work),
+                    readings=self._select_totals(totals, work),
                     prompts=self._select_prompts(prompts, work),
                 )
                 self.add_future(self._send_report(peer.peer_url, report))
@@ -284,11 +284,11 @@
         self._home_totals.remove_expired(now)
 
     def _select_totals(
-        self, readings: dict[str, PrefillTotals], work: Mapping[str, Work]
+        self, totals: dict[str, PrefillTotals], work: Mapping[str, Work]
     ) -> dict[str, PrefillTotals]:
         if not self.is_large():
-            return readings
-        return {name: item for name, item in readings.items() if name in work}
+            return totals
+        return {name: item for name, item in totals.items() if name in work}
 
     def _select_prompts(
         self, prompts: list[CachedPrompt], work: Mapping[str, Work]
