--- a/trefoilstage/components/forwarding/answers.py
+++ b/trefoilstage/components/forwarding/answers.py
@@ -10,7 +10,7 @@
 from trefoilstage.const import HEADER_RETRY_AFTER
 from trefoilstage.helpers.verdict import Effect, Reason, Refusal
 
-# Statuses of requests that certainly did not run on a target.
+# Used only if it is certain that the request did not run on a target.
 STATUSES: Mapping[Reason, int] = {
     Reason.BAD_REQUEST: 400,
     Reason.UNAUTHORIZED: 401,
--- a/trefoilstage/components/forwarding/connections.py
+++ b/trefoilstage/components/forwarding/connections.py
@@ -31,7 +31,7 @@
 # silence of 2 s and more, and a shorter time ended calls that a network interruption of
 # a second had only delayed.
 MAX_UNACKNOWLEDGED_MS = 2_000
-# During prefill no data is sent that could remain unacknowledged; probes cover it.
+# During prefill no data is in flight, so only keep-alive probes detect a dead path.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 N_KEEPALIVE_PROBES = 2
--- a/trefoilstage/components/forwarding/messages.py
+++ b/trefoilstage/components/forwarding/messages.py
@@ -24,9 +24,8 @@
 
     host: Name
     work: dict[Name, Work]
-    readings: dict[Name, PrefillTotals] = field(
-        default_factory=dict
-    )  # changed ones only
+    # Prefill totals that changed since the last report.
+    readings: dict[Name, PrefillTotals] = field(default_factory=dict)
     prompts: tuple[CachedPrompt, ...] = ()
     kind: Literal["work_report"] = "work_report"
 
--- a/trefoilstage/components/forwarding/pipeline.py
+++ b/trefoilstage/components/forwarding/pipeline.py
@@ -61,7 +61,7 @@
         self._sender = sender
         self._crashes = crashes
         self._generator = generator
-        self._answers = AnswerRelay(board=board)
+        self._answer_relay = AnswerRelay(board=board)
         self._hold_numbers = itertools.count()
 
     async def run(self, run: Run, reply: CallerReply) -> Refusal | None:
@@ -277,7 +277,7 @@
                 # The target would most likely fail again.
                 run.excluded.add(target.incarnation)
                 return False
-            await self._answers.relay(run, reply, answer)
+            await self._answer_relay.relay(run, reply, answer)
         except (AnswerBrokenError, MalformedMessageError) as error:
             self._chooser.record_broken_answer(target)
             run.excluded.add(target.incarnation)
--- a/trefoilstage/components/forwarding/placement.py
+++ b/trefoilstage/components/forwarding/placement.py
@@ -50,9 +50,8 @@
 class CandidateInfo:
     """Describe a prompt's candidate targets as reported by peer hosts."""
 
-    cached_tokens: Mapping[str, int] = field(
-        default_factory=dict
-    )  # of the prompt, by incarnation
+    # Cached tokens of the prompt, by incarnation.
+    cached_tokens: Mapping[str, int] = field(default_factory=dict)
     n_candidates: int = N_FIRST_CANDIDATES  # that were queried
 
 
@@ -139,7 +138,7 @@
     position = {name: number for number, name in enumerate(order)}
 
     def rank(option: TargetOption) -> tuple[int, bool, int]:
-        far = option.target.data_center != data_center
-        return option.work.n_requests, far, position[option.target.name]
+        is_remote = option.target.data_center != data_center
+        return option.work.n_requests, is_remote, position[option.target.name]
 
     return min(options, key=rank).target
--- a/trefoilstage/components/forwarding/prompt_cache.py
+++ b/trefoilstage/components/forwarding/prompt_cache.py
@@ -30,12 +30,12 @@
 
         A cached part is usable only if all parts before it are cached too.
         """
-        n_kept = 0
+        n_cached = 0
         for part in prompt:
             if part.name not in self.parts:
                 break
-            n_kept += part.n_tokens
-        return n_kept
+            n_cached += part.n_tokens
+        return n_cached
 
     def add(self, prompt: Sequence[PromptPart]) -> None:
         """Add a prompt that the target processes; evict parts above the capacity."""
--- a/trefoilstage/components/forwarding/reading_pace.py
+++ b/trefoilstage/components/forwarding/reading_pace.py
@@ -59,10 +59,10 @@
 
 def sum_totals(totals: Iterable[PrefillTotals]) -> PrefillTotals:
     """Return the sum of several totals."""
-    known = list(totals)
+    listed = list(totals)
     return PrefillTotals(
-        tokens=sum(item.tokens for item in known),
-        seconds=sum(item.seconds for item in known),
+        tokens=sum(item.tokens for item in listed),
+        seconds=sum(item.seconds for item in listed),
     )
 
 
--- a/trefoilstage/components/forwarding/sender.py
+++ b/trefoilstage/components/forwarding/sender.py
@@ -137,9 +137,9 @@
                 return NotSent(reason=name, stalled=True)
             silent = isinstance(error, TimeoutError)
             return NotSent(reason=name, unreachable=True, silent=silent)
-        return self._check(request, cast(CheckedResponse, response))
+        return self._check_head(request, cast(CheckedResponse, response))
 
-    def _check(
+    def _check_head(
         self, request: CallerRequest, response: CheckedResponse
     ) -> OpenAnswer | NotSent | Broken:
         head = self._border.read_answer(request, response.status, response.headers)
--- a/trefoilstage/components/forwarding/server.py
+++ b/trefoilstage/components/forwarding/server.py
@@ -67,7 +67,7 @@
         self._settings = settings
         self._border = border
         self._pipeline = pipeline
-        self._refusals = RefusalMaker(border=border)
+        self._refusal_maker = RefusalMaker(border=border)
         self._refuses_streams = False
         self._refuses_all = False
         self._request_tasks: set[asyncio.Task[Any]] = set()
@@ -269,7 +269,7 @@
             detail=refusal.detail,
         )
         close = self._board.phase is Phase.DRAINING or refusal is LINK_FULL
-        return self._refusals.make(refusal, request, close=close)
+        return self._refusal_maker.make(refusal, request, close=close)
 
     def _refuse_run(
         self, refusal: Refusal, run: Run, reply: WebReply
--- a/trefoilstage/components/forwarding/targets.py
+++ b/trefoilstage/components/forwarding/targets.py
@@ -134,7 +134,8 @@
         """Query the home hosts of a prompt's candidate targets for their state.
 
         Query more targets while the prompt would be late at all known ones. Requests
-        without a prompt need no query: they take 45 ms on average and seldom overlap.
+        without a prompt need no query: they take 45 ms on average, and few of them
+        overlap at a target.
         """
         if need is None or not self._workload.is_large():
             return CandidateInfo()
--- a/trefoilstage/components/forwarding/work.py
+++ b/trefoilstage/components/forwarding/work.py
@@ -17,9 +17,9 @@
 
 def sum_work(items: Iterable[Work]) -> Work:
     """Return the sum of several hosts' work."""
-    known = list(items)
+    listed = list(items)
     return Work(
-        n_requests=sum(item.n_requests for item in known),
-        prompt_tokens=sum(item.prompt_tokens for item in known),
-        held_tokens=sum(item.held_tokens for item in known),
+        n_requests=sum(item.n_requests for item in listed),
+        prompt_tokens=sum(item.prompt_tokens for item in listed),
+        held_tokens=sum(item.held_tokens for item in listed),
     )
--- a/trefoilstage/components/forwarding/workload.py
+++ b/trefoilstage/components/forwarding/workload.py
@@ -81,7 +81,7 @@
         self._reported_at: dict[str, float] = {}
         self._is_report_scheduled = False
         self._caches = PromptCaches()
-        self._unreported_prompts: list[CachedPrompt] = []  # to targets
+        self._unreported_prompts: list[CachedPrompt] = []
         self._prefill_speeds = SharedPrefillSpeeds()
         server.register(WorkReport, self._receive_report)
         server.register(WorkQuery, self._answer_query)
