--- a/tests/components/escrow/common.py
+++ b/tests/components/escrow/common.py
@@ -60,7 +60,7 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class Bank:
+class EscrowCluster:
     """Hold hosts that share a store, and what was really spent."""
 
     prepaid: int
@@ -77,7 +77,7 @@
     n_starts: int = 0
     confirmed: list[str] = field(default_factory=list)  # hosts asked how they stand
     spent: dict[str, int] = field(default_factory=dict)
-    on_way: list[Grant] = field(default_factory=list)
+    in_flight: list[Grant] = field(default_factory=list)
     running: dict[str, Grant] = field(default_factory=dict)
 
     def start(self, host: str) -> EscrowHome:
@@ -128,12 +128,12 @@
         self.running = {
             name: item for name, item in self.running.items() if item.requester != host
         }
-        self.on_way = [item for item in self.on_way if item.requester != host]
+        self.in_flight = [item for item in self.in_flight if item.requester != host]
         for other in self.boards:
-            self.meet(host, other)
+            self.update_peer(host, other)
         return home
 
-    def meet(self, host: str, other: str) -> None:
+    def update_peer(self, host: str, other: str) -> None:
         """Let a host hear of another's current incarnation."""
         if host != other:
             self.boards[host].peers[other] = PeerState(
@@ -147,13 +147,13 @@
                 untouched=self.boards[other].untouched,
             )
 
-    def meet_all(self) -> None:
+    def update_all_peers(self) -> None:
         """Let every host hear of every other."""
         for host in self.boards:
             for other in self.boards:
-                self.meet(host, other)
+                self.update_peer(host, other)
 
-    async def keep_lock(self, host: str) -> None:
+    async def run_lock_keeper(self, host: str) -> None:
         """Let a host read its predecessor's promise, then renew its own."""
         keeper = self.keepers[host]
         if self.boards[host].untouched is None:
@@ -171,7 +171,7 @@
         if workspace in self.homes[host]._accounts:
             await self.homes[host]._recover(workspace)
 
-    def count_used(self, workspace: str) -> int:
+    def count_unavailable(self, workspace: str) -> int:
         """Return what the store counts as drawn and no live host may still grant."""
         found = self.store.partitions[Topic.ACCOUNTS, 0].list_newest()
         values = {record.key: record.value for record in found}
@@ -190,7 +190,7 @@
             return None
         return self.recoveries[host].seal(message)
 
-    async def send(
+    async def request_grant(
         self, home: str, requester: str, workspace: str, request: str, tokens: int
     ) -> Reason | None:
         """Let a host ask a home for a hold; the grant is then on its way."""
@@ -205,12 +205,12 @@
                 request=request,
                 tokens=tokens,
             )
-            self.on_way.append(grant)
+            self.in_flight.append(grant)
         return refused
 
     def deliver(self, grant: Grant) -> bool:
         """Let a grant arrive; its request runs and may spend it in full."""
-        self.on_way.remove(grant)
+        self.in_flight.remove(grant)
         book = self.books[grant.requester]
         if not book.accept(grant.incarnation, grant.workspace, grant.tokens):
             return False
@@ -223,9 +223,12 @@
         self, home: str, requester: str, workspace: str, request: str, tokens: int
     ) -> bool:
         """Hold tokens for a request that then runs."""
-        if await self.send(home, requester, workspace, request, tokens) is not None:
+        if (
+            await self.request_grant(home, requester, workspace, request, tokens)
+            is not None
+        ):
             return False
-        return self.deliver(self.on_way[-1])
+        return self.deliver(self.in_flight[-1])
 
     def settle(self, request: str, spent: int) -> None:
         """End a request that spent less than it held."""
--- a/tests/components/escrow/test_client.py
+++ b/tests/components/escrow/test_client.py
@@ -2,21 +2,24 @@
 
 import unittest
 
-from trefoilstage.components.escrow.returns import estimate_return, make_refusal
+from trefoilstage.components.escrow.returns import (
+    estimate_store_return,
+    make_refusal,
+)
 from trefoilstage.fleet_board import StoreReach
 from trefoilstage.helpers.verdict import Reason
 
 
-class ReturnTest(unittest.TestCase):
+class RetryAfterTest(unittest.TestCase):
     """Test the time to come back in and after an outage."""
 
-    def test_callers_come_back_when_the_store_probably_is(self) -> None:
+    def test_retry_time_is_the_expected_end_of_the_outage(self) -> None:
         """Refuse callers at 2 and at 7 s of an outage, and after 20 s of it."""
-        self.assertAlmostEqual(estimate_return(2.0), 6.5)
-        self.assertAlmostEqual(estimate_return(7.0), 1.5)
-        self.assertAlmostEqual(estimate_return(20.0), 1.0)
+        self.assertAlmostEqual(estimate_store_return(2.0), 6.5)
+        self.assertAlmostEqual(estimate_store_return(7.0), 1.5)
+        self.assertAlmostEqual(estimate_store_return(20.0), 1.0)
 
-    def test_store_in_reach_is_no_outage(self) -> None:
+    def test_one_failed_call_is_no_outage(self) -> None:
         """Miss one call; the store is silent only once it is out of reach."""
         reach = StoreReach()
         reach.note_answer(10.0)
@@ -25,7 +28,7 @@
         reach.note_failure(10.9, "error")
         self.assertAlmostEqual(reach.get_silence(11.0), 1.0)
 
-    def test_spent_budget_names_no_time(self) -> None:
+    def test_exhausted_budget_has_no_retry_time(self) -> None:
         """Refuse for a spent balance; coming back does not help."""
         self.assertIsNone(make_refusal(Reason.BUDGET_EXHAUSTED, 1.0).retry_after_s)
         self.assertEqual(
--- a/tests/components/escrow/test_failed_homes.py
+++ b/tests/components/escrow/test_failed_homes.py
@@ -17,18 +17,18 @@
 class FailedHomeTest(unittest.IsolatedAsyncioTestCase):
     """Test a host whose home for a workspace leaves a hold unanswered."""
 
-    async def ask(self, trip_s: float) -> FleetBoard:
+    async def request_hold(self, round_trip_s: float) -> FleetBoard:
         """Return the board after one request, with calls that take some time."""
         board = make_board("host-0", [f"host-{number}" for number in range(5)])
         board.configuration = make_configuration(1_000)
         for _ in range(N_CALLS):
-            board.round_trips.note_answer(trip_s, 0.0)
+            board.round_trips.note_answer(round_trip_s, 0.0)
         links = mock.Mock()
         links.get_link.return_value.call = mock.AsyncMock(
             side_effect=PeerUnavailableError("no answer")
         )
         ranking = mock.Mock()
-        ranking.list_homes.return_value = ["host-1"]
+        ranking.list_homes_to_ask.return_value = ["host-1"]
         client = EscrowClient(
             board=board,
             membership=mock.Mock(),
@@ -43,17 +43,17 @@
         await client.hold(WORKSPACE, "r-1", 10, patience)
         return board
 
-    async def test_home_without_an_answer_is_left(self) -> None:
-        board = await self.ask(0.002)
+    async def test_home_that_does_not_reply_is_marked_failed(self) -> None:
+        board = await self.request_hold(0.002)
         self.assertTrue(board.peers["host-1"].failed)
 
-    async def test_home_stays_where_this_hosts_link_is_full(self) -> None:
+    async def test_home_is_not_marked_failed_when_the_own_link_is_full(self) -> None:
         """Ask over a link on which each call takes 0.7 s.
 
         Two hosts of 90 took one home after the other for lost, 2,600 times in 12 s, and
         refused their callers for want of tokens that lay ready.
         """
-        board = await self.ask(0.7)
+        board = await self.request_hold(0.7)
         self.assertFalse(board.peers["host-1"].failed)
 
 
--- a/tests/components/escrow/test_home.py
+++ b/tests/components/escrow/test_home.py
@@ -6,7 +6,7 @@
 from tests.components.escrow.common import (
     OTHER_WORKSPACE,
     WORKSPACE,
-    Bank,
+    EscrowCluster,
     make_configuration,
     pick_faults,
 )
@@ -47,78 +47,82 @@
         """
         for seed in range(N_SEEDS):
             with self.subTest(seed=seed):
-                await self._play(seed)
+                await self._run_seed(seed)
 
-    async def _play(self, seed: int) -> None:
+    async def _run_seed(self, seed: int) -> None:
         generator = random.Random(seed)
-        bank = Bank(prepaid=PREPAID, home=generator.choice(HOSTS))
-        bank.store.generator = random.Random(seed + 1_000)
+        cluster = EscrowCluster(prepaid=PREPAID, home=generator.choice(HOSTS))
+        cluster.store.generator = random.Random(seed + 1_000)
         for host in HOSTS:
-            bank.start(host)
+            cluster.start(host)
         for step in range(N_STEPS):
-            await self._step(bank, generator, f"request-{step}")
-            for workspace, spent in bank.spent.items():
+            await self._run_step(cluster, generator, f"request-{step}")
+            for workspace, spent in cluster.spent.items():
                 self.assertLessEqual(spent, PREPAID, (seed, step, workspace))
-                counted = bank.count_used(workspace)
+                counted = cluster.count_unavailable(workspace)
                 self.assertLessEqual(spent, counted, (seed, step, workspace))
 
-    async def _step(self, bank: Bank, generator: random.Random, request: str) -> None:
-        bank.timer.time += generator.choice([0.01, 0.1, 0.5])
+    async def _run_step(
+        self, cluster: EscrowCluster, generator: random.Random, request: str
+    ) -> None:
+        cluster.timer.time += generator.choice([0.01, 0.1, 0.5])
         host, other = generator.choice(HOSTS), generator.choice(HOSTS)
         workspace = generator.choice([WORKSPACE, OTHER_WORKSPACE])
         action = generator.choices(list(WEIGHTS), weights=list(WEIGHTS.values()))[0]
         if action == "hold":
             tokens = generator.randrange(1, 9_000)
-            await bank.send(host, other, workspace, request, tokens)
+            await cluster.request_grant(host, other, workspace, request, tokens)
         elif action == "return":
-            await bank.homes[host].return_all()
+            await cluster.homes[host].return_all()
         elif action == "recover":
-            await bank.recover(host, workspace)
+            await cluster.recover(host, workspace)
         elif action == "lock":
-            await bank.keep_lock(host)
+            await cluster.run_lock_keeper(host)
         elif action == "restart_all":
-            await self._restart_all(bank, generator)
+            await self._restart_all(cluster, generator)
         else:
-            change(bank, generator, action, host, other)
+            apply_action(cluster, generator, action, host, other)
 
-    async def _restart_all(self, bank: Bank, generator: random.Random) -> None:
-        bank.timer.time += generator.choice([0.5, 1.5, 4.0])
+    async def _restart_all(
+        self, cluster: EscrowCluster, generator: random.Random
+    ) -> None:
+        cluster.timer.time += generator.choice([0.5, 1.5, 4.0])
         for host in HOSTS:
-            bank.start(host)
-        bank.store.down, bank.store.refuse_share = False, 0.0
+            cluster.start(host)
+        cluster.store.down, cluster.store.refuse_share = False, 0.0
         for host in HOSTS:
-            await bank.keep_lock(host)
-        bank.meet_all()
+            await cluster.run_lock_keeper(host)
+        cluster.update_all_peers()
         # The next home meets the accounts, then what the ended ones have left.
         requester, *others = HOSTS
         for host in others:
             for workspace in (WORKSPACE, OTHER_WORKSPACE):
-                name = f"after-{bank.n_starts}-{workspace}"
-                await bank.send(host, requester, workspace, name, 1)
+                name = f"after-{cluster.n_starts}-{workspace}"
+                await cluster.request_grant(host, requester, workspace, name, 1)
                 for _ in range(len(HOSTS)):
-                    await bank.recover(host, workspace)
+                    await cluster.recover(host, workspace)
 
 
-def change(
-    bank: Bank, generator: random.Random, action: str, host: str, other: str
+def apply_action(
+    cluster: EscrowCluster, generator: random.Random, action: str, host: str, other: str
 ) -> None:
     """Carry out one of the actions that wait for nothing."""
-    if action == "deliver" and bank.on_way:
-        bank.deliver(generator.choice(bank.on_way))
-    elif action == "settle" and bank.running:
-        ended = generator.choice(sorted(bank.running))
-        bank.settle(ended, generator.randrange(bank.running[ended].tokens + 1))
+    if action == "deliver" and cluster.in_flight:
+        cluster.deliver(generator.choice(cluster.in_flight))
+    elif action == "settle" and cluster.running:
+        ended = generator.choice(sorted(cluster.running))
+        cluster.settle(ended, generator.randrange(cluster.running[ended].tokens + 1))
     elif action == "restart":
-        bank.start(host)
+        cluster.start(host)
     elif action == "meet":
-        bank.meet(host, other)
+        cluster.update_peer(host, other)
     elif action == "move":
-        bank.home = host
+        cluster.home = host
     elif action == "fail":
-        pick_faults(bank.store, generator)
-        bank.unreachable = {host} if generator.random() < 0.3 else set()
+        pick_faults(cluster.store, generator)
+        cluster.unreachable = {host} if generator.random() < 0.3 else set()
     elif action == "land":
-        bank.store.land()
+        cluster.store.land()
 
 
 class HomeTest(unittest.IsolatedAsyncioTestCase):
@@ -126,16 +130,16 @@
 
     async def test_whole_budget_can_be_spent(self) -> None:
         """Spend a budget to its last tokens through one home, in small requests."""
-        bank = Bank(prepaid=100_000, home="brest-1")
-        bank.start("lorient-1")
-        bank.start("brest-1")
+        cluster = EscrowCluster(prepaid=100_000, home="brest-1")
+        cluster.start("lorient-1")
+        cluster.start("brest-1")
         for number in range(100):
-            held = await bank.hold(
+            held = await cluster.hold(
                 "brest-1", "lorient-1", WORKSPACE, f"request-{number}", 1_000
             )
             self.assertTrue(held, number)
-        refused = await bank.homes["brest-1"].hold(
-            WORKSPACE, "one-more", 1_000, bank.boards["lorient-1"].incarnation
+        refused = await cluster.homes["brest-1"].hold(
+            WORKSPACE, "one-more", 1_000, cluster.boards["lorient-1"].incarnation
         )
         self.assertIs(refused, Reason.BUDGET_EXHAUSTED)
 
@@ -145,19 +149,19 @@
         The dossier of 9,000 would leave nothing for a dozen others, who come in the
         same second. They are served; a dossier that takes half at most still is.
         """
-        bank = Bank(prepaid=200_000, home="brest-1")
-        bank.start("lorient-1")
-        bank.start("brest-1")
-        bank.meet_all()
-        held = await bank.hold("brest-1", "lorient-1", WORKSPACE, "most", 188_000)
+        cluster = EscrowCluster(prepaid=200_000, home="brest-1")
+        cluster.start("lorient-1")
+        cluster.start("brest-1")
+        cluster.update_all_peers()
+        held = await cluster.hold("brest-1", "lorient-1", WORKSPACE, "most", 188_000)
         self.assertTrue(held)
-        held = await bank.hold("brest-1", "lorient-1", WORKSPACE, "long", 9_000)
+        held = await cluster.hold("brest-1", "lorient-1", WORKSPACE, "long", 9_000)
         self.assertFalse(held)
-        held = await bank.hold("brest-1", "lorient-1", WORKSPACE, "half", 6_000)
+        held = await cluster.hold("brest-1", "lorient-1", WORKSPACE, "half", 6_000)
         self.assertTrue(held)
         for number in range(6):
             name = f"short-{number}"
-            held = await bank.hold("brest-1", "lorient-1", WORKSPACE, name, 1_000)
+            held = await cluster.hold("brest-1", "lorient-1", WORKSPACE, name, 1_000)
             self.assertTrue(held, number)
 
     async def test_stock_serves_through_an_outage(self) -> None:
@@ -167,44 +171,44 @@
         store is down for 6 s. Each caller is still served, for the stock covers
         eight seconds of the demand and is filled up once it falls to 85%.
         """
-        bank = Bank(prepaid=2_000_000, home="brest-1")
-        bank.start("lorient-1")
-        home = bank.start("brest-1")
+        cluster = EscrowCluster(prepaid=2_000_000, home="brest-1")
+        cluster.start("lorient-1")
+        home = cluster.start("brest-1")
         for number in range(110):
-            bank.meet_all()
+            cluster.update_all_peers()
             if number == 50:
-                await home._tick()
+                await home._check_stocks()
                 await home._draws[WORKSPACE]
-                bank.store.down = True
-            bank.timer.time += 0.1
-            held = await bank.hold(
+                cluster.store.down = True
+            cluster.timer.time += 0.1
+            held = await cluster.hold(
                 "brest-1", "lorient-1", WORKSPACE, f"request-{number}", 1_000
             )
             self.assertTrue(held, number)
 
-    async def test_returned_tokens_are_not_held_meanwhile(self) -> None:
+    async def test_tokens_of_an_unconfirmed_return_are_not_held(self) -> None:
         """Lose the answer to a return of tokens, then ask for tokens.
 
         The write is on its way and may land at any time, upon which another host
         can draw the same tokens. So a request that asks for them now is refused.
         """
-        bank = Bank(prepaid=10_000, home="brest-1")
-        bank.start("lorient-1")
-        home = bank.start("brest-1")
+        cluster = EscrowCluster(prepaid=10_000, home="brest-1")
+        cluster.start("lorient-1")
+        home = cluster.start("brest-1")
         self.assertTrue(
-            await bank.hold("brest-1", "lorient-1", WORKSPACE, "first", 10_000)
+            await cluster.hold("brest-1", "lorient-1", WORKSPACE, "first", 10_000)
         )
-        bank.settle("first", 1_000)
-        bank.store.late_share = 1.0
+        cluster.settle("first", 1_000)
+        cluster.store.late_share = 1.0
         await home.return_all()
         self.assertFalse(
-            await bank.hold("brest-1", "lorient-1", WORKSPACE, "second", 5_000)
+            await cluster.hold("brest-1", "lorient-1", WORKSPACE, "second", 5_000)
         )
-        bank.store.land()
-        bank.store.late_share = 0.0
-        bank.start("quimper-1")
+        cluster.store.land()
+        cluster.store.late_share = 0.0
+        cluster.start("quimper-1")
         self.assertTrue(
-            await bank.hold("quimper-1", "lorient-1", WORKSPACE, "third", 8_000)
+            await cluster.hold("quimper-1", "lorient-1", WORKSPACE, "third", 8_000)
         )
 
     async def test_unread_account_is_not_overwritten(self) -> None:
@@ -213,79 +217,93 @@
         Both lie in one partition. Were the second taken for empty, the write would
         drop what another host has drawn, and its tokens would be spent twice.
         """
-        bank = Bank(prepaid=10_000)
-        bank.start("lorient-1")
-        bank.start("brest-1")
-        bank.start("quimper-1")
-        self.assertTrue(await bank.hold("brest-1", "lorient-1", WORKSPACE, "a", 9_000))
+        cluster = EscrowCluster(prepaid=10_000)
+        cluster.start("lorient-1")
+        cluster.start("brest-1")
+        cluster.start("quimper-1")
         self.assertTrue(
-            await bank.hold("quimper-1", "lorient-1", OTHER_WORKSPACE, "b", 1_000)
+            await cluster.hold("brest-1", "lorient-1", WORKSPACE, "a", 9_000)
+        )
+        self.assertTrue(
+            await cluster.hold("quimper-1", "lorient-1", OTHER_WORKSPACE, "b", 1_000)
         )
         self.assertFalse(
-            await bank.hold("quimper-1", "lorient-1", WORKSPACE, "c", 9_000)
+            await cluster.hold("quimper-1", "lorient-1", WORKSPACE, "c", 9_000)
         )
 
-    async def test_lowered_budget_binds_at_once(self) -> None:
+    async def test_lowered_budget_applies_immediately(self) -> None:
         """Lower the prepaid tokens below what is drawn; nothing more is held."""
-        bank = Bank(prepaid=100_000, home="brest-1")
-        bank.start("lorient-1")
-        home = bank.start("brest-1")
-        self.assertTrue(await bank.hold("brest-1", "lorient-1", WORKSPACE, "a", 10_000))
-        await home._tick()
-        bank.boards["brest-1"].configuration = make_configuration(10_000, version=2)
-        self.assertFalse(await bank.hold("brest-1", "lorient-1", WORKSPACE, "b", 1_000))
+        cluster = EscrowCluster(prepaid=100_000, home="brest-1")
+        cluster.start("lorient-1")
+        home = cluster.start("brest-1")
+        self.assertTrue(
+            await cluster.hold("brest-1", "lorient-1", WORKSPACE, "a", 10_000)
+        )
+        await home._check_stocks()
+        cluster.boards["brest-1"].configuration = make_configuration(10_000, version=2)
+        self.assertFalse(
+            await cluster.hold("brest-1", "lorient-1", WORKSPACE, "b", 1_000)
+        )
 
     async def test_top_up_is_used(self) -> None:
         """Raise the prepaid tokens of a spent budget; the next request is served."""
-        bank = Bank(prepaid=10_000, home="brest-1")
-        bank.start("lorient-1")
-        bank.start("brest-1")
-        self.assertTrue(await bank.hold("brest-1", "lorient-1", WORKSPACE, "a", 10_000))
-        self.assertFalse(await bank.hold("brest-1", "lorient-1", WORKSPACE, "b", 1_000))
-        bank.boards["brest-1"].configuration = make_configuration(20_000, version=2)
-        bank.timer.time += 1.0
-        self.assertTrue(await bank.hold("brest-1", "lorient-1", WORKSPACE, "c", 1_000))
+        cluster = EscrowCluster(prepaid=10_000, home="brest-1")
+        cluster.start("lorient-1")
+        cluster.start("brest-1")
+        self.assertTrue(
+            await cluster.hold("brest-1", "lorient-1", WORKSPACE, "a", 10_000)
+        )
+        self.assertFalse(
+            await cluster.hold("brest-1", "lorient-1", WORKSPACE, "b", 1_000)
+        )
+        cluster.boards["brest-1"].configuration = make_configuration(20_000, version=2)
+        cluster.timer.time += 1.0
+        self.assertTrue(
+            await cluster.hold("brest-1", "lorient-1", WORKSPACE, "c", 1_000)
+        )
 
-    async def test_settlement_may_overtake_its_hold(self) -> None:
+    async def test_settlement_may_arrive_before_its_hold(self) -> None:
         """Give up a hold whose message is slow; it must not stay held for ever."""
-        bank = Bank(prepaid=10_000, home="brest-1")
-        bank.start("lorient-1")
-        home = bank.start("brest-1")
-        self.assertTrue(await bank.hold("brest-1", "lorient-1", WORKSPACE, "a", 1_000))
+        cluster = EscrowCluster(prepaid=10_000, home="brest-1")
+        cluster.start("lorient-1")
+        home = cluster.start("brest-1")
+        self.assertTrue(
+            await cluster.hold("brest-1", "lorient-1", WORKSPACE, "a", 1_000)
+        )
         account = home.list_accounts()[0]
         account.settle("late", 0)
-        requester = bank.boards["lorient-1"].incarnation
+        requester = cluster.boards["lorient-1"].incarnation
         self.assertFalse(account.hold("late", 1_000, requester, 0.0))
 
-    async def test_late_draw_cannot_land_on_another(self) -> None:
+    async def test_delayed_draw_cannot_overwrite_another(self) -> None:
         """Lose a draw on its way, draw elsewhere, then let the lost one land.
 
         The late record knows nothing of the other host's draw and would take its
         place; a third host would then draw the same tokens again.
         """
-        bank = Bank(prepaid=10_000)
-        bank.start("lorient-1")
-        bank.start("quimper-1")
-        bank.start("brest-1")
-        bank.meet_all()
-        bank.store.late_share = 1.0
-        held = await bank.hold("quimper-1", "lorient-1", WORKSPACE, "a", 1_000)
+        cluster = EscrowCluster(prepaid=10_000)
+        cluster.start("lorient-1")
+        cluster.start("quimper-1")
+        cluster.start("brest-1")
+        cluster.update_all_peers()
+        cluster.store.late_share = 1.0
+        held = await cluster.hold("quimper-1", "lorient-1", WORKSPACE, "a", 1_000)
         self.assertFalse(held)
-        bank.store.late_share = 0.0
-        held = await bank.hold("brest-1", "lorient-1", WORKSPACE, "b", 9_000)
+        cluster.store.late_share = 0.0
+        held = await cluster.hold("brest-1", "lorient-1", WORKSPACE, "b", 9_000)
         self.assertTrue(held)
-        bank.store.land()
-        bank.timer.time += 1.0
-        held = await bank.hold("quimper-1", "lorient-1", WORKSPACE, "c", 9_000)
+        cluster.store.land()
+        cluster.timer.time += 1.0
+        held = await cluster.hold("quimper-1", "lorient-1", WORKSPACE, "c", 9_000)
         self.assertFalse(held)
 
-    async def test_silent_store_refuses_at_once(self) -> None:
+    async def test_hold_is_refused_immediately_without_the_store(self) -> None:
         """Ask a home without stock while the store is known to be out of reach."""
-        bank = Bank(prepaid=10_000)
-        bank.start("lorient-1")
-        home = bank.start("brest-1")
-        bank.store.down = True
-        bank.boards["brest-1"].store.out_of_reach = True
+        cluster = EscrowCluster(prepaid=10_000)
+        cluster.start("lorient-1")
+        home = cluster.start("brest-1")
+        cluster.store.down = True
+        cluster.boards["brest-1"].store.out_of_reach = True
         refused = await home.hold(WORKSPACE, "a", 1_000, "lorient-1-1")
         self.assertIs(refused, Reason.BUDGET_UNCONFIRMED)
 
--- a/tests/components/escrow/test_lock.py
+++ b/tests/components/escrow/test_lock.py
@@ -2,12 +2,12 @@
 
 import unittest
 
-from tests.components.escrow.common import WORKSPACE, Bank
+from tests.components.escrow.common import WORKSPACE, EscrowCluster
 from trefoilstage.components.escrow.lock import (
-    LOCK_S,
+    LOCK_DURATION_S,
     LockRecord,
     ReserveLock,
-    find_untouched,
+    list_proven_untouched,
 )
 from trefoilstage.components.escrow.stock import StockChange
 from trefoilstage.components.views.store import StoreUnavailableError, Topic
@@ -20,18 +20,18 @@
 class ProofTest(unittest.TestCase):
     """Test what a process may conclude from its predecessor's promise."""
 
-    def find(
+    def list_untouched(
         self, *, boot: str = "boot-1", at: float = 99.0, offset: float = 5.0
     ) -> tuple[str, ...]:
         """Return what a process proves that starts at a moment."""
         start = ProcessStart(boot=boot, at=at, offset=offset)
-        return find_untouched(RECORD, start)
+        return list_proven_untouched(RECORD, start)
 
-    def test_start_before_the_promised_moment_is_a_proof(self) -> None:
-        self.assertEqual(self.find(), ("brest-1-1",))
+    def test_start_before_the_promised_time_is_a_proof(self) -> None:
+        self.assertEqual(self.list_untouched(), ("brest-1-1",))
 
-    def test_start_after_it_proves_nothing(self) -> None:
-        self.assertEqual(self.find(at=100.0), ())
+    def test_start_after_the_promised_time_proves_nothing(self) -> None:
+        self.assertEqual(self.list_untouched(at=100.0), ())
 
     def test_clock_of_another_boot_proves_nothing(self) -> None:
         """Start again after a loss of power; the steady clock began anew.
@@ -39,175 +39,181 @@
         It may stand anywhere. The machine's boot tells, or else that the clock
         stands elsewhere against the time of day.
         """
-        self.assertEqual(self.find(boot="boot-2"), ())
-        self.assertEqual(self.find(boot=""), ())
-        self.assertEqual(self.find(at=50.0, offset=56.0), ())
+        self.assertEqual(self.list_untouched(boot="boot-2"), ())
+        self.assertEqual(self.list_untouched(boot=""), ())
+        self.assertEqual(self.list_untouched(at=50.0, offset=56.0), ())
 
     def test_no_promise_proves_nothing(self) -> None:
         start = ProcessStart(boot="boot-1", at=1.0, offset=0.0)
-        self.assertEqual(find_untouched(None, start), ())
+        self.assertEqual(list_proven_untouched(None, start), ())
 
-    def test_lost_renewal_binds(self) -> None:
+    def test_promise_applies_before_the_store_confirms_it(self) -> None:
         """Lose the answer to a renewal; the promise may have landed, so it binds."""
         lock = ReserveLock()
         self.assertTrue(lock.is_open(10.0))
         lock.promise(10.0)
-        self.assertFalse(lock.is_open(10.0 + LOCK_S - 0.1))
-        self.assertTrue(lock.is_open(10.0 + LOCK_S))
+        self.assertFalse(lock.is_open(10.0 + LOCK_DURATION_S - 0.1))
+        self.assertTrue(lock.is_open(10.0 + LOCK_DURATION_S))
 
 
 class UnusedLockTest(unittest.IsolatedAsyncioTestCase):
     """Test that only hosts with locked tokens write promises."""
 
-    async def list_locks(self, bank: Bank) -> set[str]:
+    async def list_promising_hosts(self, cluster: EscrowCluster) -> set[str]:
         """Return the hosts with a promise in the store."""
-        listing = await bank.store.list_newest(Topic.LOCKS)
+        listing = await cluster.store.list_newest(Topic.LOCKS)
         return {record.key for record in listing.records}
 
-    async def test_host_without_locked_tokens_promises_nothing(self) -> None:
+    async def test_host_without_locked_tokens_writes_no_promise(self) -> None:
         """Keep three hosts running, of which one is the home of an account.
 
         With promises by all, renewed 2.5 times a second, a fleet of 195 hosts made 490
         calls a second, a third of all that it made, for 80 homes at most.
         """
-        bank = Bank(prepaid=200_000, home="brest-1")
+        cluster = EscrowCluster(prepaid=200_000, home="brest-1")
         for host in HOSTS:
-            bank.start(host)
-        bank.meet_all()
+            cluster.start(host)
+        cluster.update_all_peers()
         for _ in range(3):
             for host in HOSTS:
-                await bank.keep_lock(host)
-        self.assertEqual(await self.list_locks(bank), set())
-        self.assertTrue(await bank.hold("brest-1", "lorient-1", WORKSPACE, "a", 1_000))
-        home = bank.homes["brest-1"]
+                await cluster.run_lock_keeper(host)
+        self.assertEqual(await self.list_promising_hosts(cluster), set())
+        self.assertTrue(
+            await cluster.hold("brest-1", "lorient-1", WORKSPACE, "a", 1_000)
+        )
+        home = cluster.homes["brest-1"]
         self.assertGreater(home._accounts[WORKSPACE].locked, 0)
-        self.assertGreater(home.get_lock_wait(), 0.0)
+        self.assertGreater(home.get_lock_wait_s(), 0.0)
         for host in HOSTS:
-            await bank.keep_lock(host)
-        self.assertEqual(await self.list_locks(bank), {"brest-1"})
+            await cluster.run_lock_keeper(host)
+        self.assertEqual(await self.list_promising_hosts(cluster), {"brest-1"})
 
     async def test_proof_about_a_predecessor_is_passed_on_without_locked_tokens(
         self,
     ) -> None:
         """Restart a home twice before its first incarnation is settled."""
-        bank = Bank(prepaid=200_000, home="brest-1")
-        bank.start("brest-1")
-        bank.start("lorient-1")
-        await bank.keep_lock("brest-1")
-        await bank.hold("brest-1", "lorient-1", WORKSPACE, "a", 1_000)
-        await bank.keep_lock("brest-1")
-        first = bank.boards["brest-1"].incarnation
+        cluster = EscrowCluster(prepaid=200_000, home="brest-1")
+        cluster.start("brest-1")
+        cluster.start("lorient-1")
+        await cluster.run_lock_keeper("brest-1")
+        await cluster.hold("brest-1", "lorient-1", WORKSPACE, "a", 1_000)
+        await cluster.run_lock_keeper("brest-1")
+        first = cluster.boards["brest-1"].incarnation
         for _ in range(2):
-            bank.timer.time += 1.0
-            bank.start("brest-1")
-            await bank.keep_lock("brest-1")
-        self.assertIn(first, bank.boards["brest-1"].untouched or ())
+            cluster.timer.time += 1.0
+            cluster.start("brest-1")
+            await cluster.run_lock_keeper("brest-1")
+        self.assertIn(first, cluster.boards["brest-1"].untouched or ())
 
 
 class LockedStockTest(unittest.IsolatedAsyncioTestCase):
     """Test what callers get from a locked stock in outages and after losses."""
 
-    async def start(self) -> Bank:
+    async def start_hosts(self) -> EscrowCluster:
         """Return hosts whose home has drawn for 1,000 tokens asked every 0.1 s."""
-        bank = Bank(prepaid=200_000, home="brest-1")
+        cluster = EscrowCluster(prepaid=200_000, home="brest-1")
         for host in HOSTS:
-            bank.start(host)
-            await bank.keep_lock(host)
-        bank.meet_all()
-        await self.ask(bank, 20, "early")
-        return bank
-
-    async def ask(self, bank: Bank, n_requests: int, name: str) -> int:
+            cluster.start(host)
+            await cluster.run_lock_keeper(host)
+        cluster.update_all_peers()
+        await self.request_holds(cluster, 20, "early")
+        return cluster
+
+    async def request_holds(
+        self, cluster: EscrowCluster, n_requests: int, name: str
+    ) -> int:
         """Return how many of some requests the home holds tokens for."""
         n_held = 0
         for number in range(n_requests):
-            bank.timer.time += 0.1
-            bank.meet_all()
+            cluster.timer.time += 0.1
+            cluster.update_all_peers()
             if number % 4 == 0:
-                await bank.keep_lock("brest-1")
-            await bank.homes["brest-1"]._tick()
-            draw = bank.homes["brest-1"]._draws.get(WORKSPACE)
+                await cluster.run_lock_keeper("brest-1")
+            await cluster.homes["brest-1"]._check_stocks()
+            draw = cluster.homes["brest-1"]._draws.get(WORKSPACE)
             if draw is not None:
                 await draw
-            held = await bank.hold(
+            held = await cluster.hold(
                 "brest-1", "lorient-1", WORKSPACE, f"{name}-{number}", 1_000
             )
             n_held += held
         return n_held
 
-    def count_drawn(self, bank: Bank) -> int:
+    def count_drawn(self, cluster: EscrowCluster) -> int:
         """Return what the store says is drawn."""
-        home = bank.homes["quimper-1"]
+        home = cluster.homes["quimper-1"]
         return home._accounts[WORKSPACE].record.drawn
 
-    async def restart_all(self, bank: Bank, down_s: float) -> None:
+    async def restart_all(self, cluster: EscrowCluster, down_s: float) -> None:
         """Kill all hosts at once and let another one become the home."""
-        bank.timer.time += down_s
+        cluster.timer.time += down_s
         for host in HOSTS:
-            bank.start(host)
+            cluster.start(host)
         for host in HOSTS:
-            await bank.keep_lock(host)
-        bank.meet_all()
-        bank.home = "quimper-1"
-        await bank.homes["quimper-1"]._tick()
-        await bank.homes["quimper-1"]._draws[WORKSPACE]
-        bank.timer.time += 1.0
-        bank.meet_all()
-        await bank.homes["quimper-1"]._recover(WORKSPACE)
-
-    async def test_locked_tokens_come_back_when_all_hosts_end(self) -> None:
+            await cluster.run_lock_keeper(host)
+        cluster.update_all_peers()
+        cluster.home = "quimper-1"
+        await cluster.homes["quimper-1"]._check_stocks()
+        await cluster.homes["quimper-1"]._draws[WORKSPACE]
+        cluster.timer.time += 1.0
+        cluster.update_all_peers()
+        await cluster.homes["quimper-1"]._recover(WORKSPACE)
+
+    async def test_locked_tokens_are_recovered_when_all_hosts_end(self) -> None:
         """Kill all hosts while the store answers; they are back after 1.5 s.
 
         The home had drawn for 9 s ahead and nobody is left to say what it granted.
         Its successor starts before the home could have used what was locked, so
         only what lay ready is lost.
         """
-        bank = await self.start()
-        spent = bank.spent[WORKSPACE]
-        account = bank.homes["brest-1"]._accounts[WORKSPACE]
+        cluster = await self.start_hosts()
+        spent = cluster.spent[WORKSPACE]
+        account = cluster.homes["brest-1"]._accounts[WORKSPACE]
         self.assertGreater(account.locked, 0.1 * 200_000)
         ready = account.unused - account.locked
-        await self.restart_all(bank, 1.5)
-        stock = bank.homes["quimper-1"]._accounts[WORKSPACE].unused
-        lost = self.count_drawn(bank) - stock - spent
+        await self.restart_all(cluster, 1.5)
+        stock = cluster.homes["quimper-1"]._accounts[WORKSPACE].unused
+        lost = self.count_drawn(cluster) - stock - spent
         self.assertEqual(lost, ready)
 
-    async def test_tokens_used_in_an_outage_do_not_come_back(self) -> None:
+    async def test_tokens_used_in_an_outage_are_not_recovered(self) -> None:
         """Cut the store off, use the locked tokens, then kill all hosts.
 
         The home's promised moment passed in the outage. Were the tokens given back,
         another home would draw and spend them a second time.
         """
-        bank = await self.start()
-        bank.store.down = True
-        board = bank.boards["brest-1"].store
-        board.note_failure(bank.timer.time, "down")
-        board.note_failure(bank.timer.time + 0.6, "down")
-        n_held = await self.ask(bank, 60, "outage")
+        cluster = await self.start_hosts()
+        cluster.store.down = True
+        board = cluster.boards["brest-1"].store
+        board.note_failure(cluster.timer.time, "down")
+        board.note_failure(cluster.timer.time + 0.6, "down")
+        n_held = await self.request_holds(cluster, 60, "outage")
         self.assertGreater(n_held, 20)
-        bank.store.down = False
-        await self.restart_all(bank, 1.5)
-        account = bank.homes["quimper-1"]._accounts[WORKSPACE]
+        cluster.store.down = False
+        await self.restart_all(cluster, 1.5)
+        account = cluster.homes["quimper-1"]._accounts[WORKSPACE]
         counted = account.record.drawn - account.unused
-        self.assertGreaterEqual(counted, bank.spent[WORKSPACE])
+        self.assertGreaterEqual(counted, cluster.spent[WORKSPACE])
 
-    async def test_locked_tokens_wait_at_the_start_of_an_outage(self) -> None:
+    async def test_locked_tokens_are_unavailable_when_an_outage_starts(self) -> None:
         """Ask for more than lies ready just after the store went silent.
 
         The request is refused, and told for how long the lock stays closed; after
         that it is served.
         """
-        bank = await self.start()
-        bank.store.down = True
-        home = bank.homes["brest-1"]
-        bank.boards["brest-1"].store.out_of_reach = True
-        refused = await bank.send("brest-1", "lorient-1", WORKSPACE, "big", 20_000)
+        cluster = await self.start_hosts()
+        cluster.store.down = True
+        home = cluster.homes["brest-1"]
+        cluster.boards["brest-1"].store.out_of_reach = True
+        refused = await cluster.request_grant(
+            "brest-1", "lorient-1", WORKSPACE, "big", 20_000
+        )
         self.assertIsNotNone(refused)
-        wait_s = home.get_lock_wait()
+        wait_s = home.get_lock_wait_s()
         self.assertGreater(wait_s, 0.0)
-        bank.timer.time += wait_s
+        cluster.timer.time += wait_s
         self.assertTrue(
-            await bank.hold("brest-1", "lorient-1", WORKSPACE, "big-2", 20_000)
+            await cluster.hold("brest-1", "lorient-1", WORKSPACE, "big-2", 20_000)
         )
 
     async def test_promise_is_not_renewed_while_locked_tokens_are_in_use(self) -> None:
@@ -216,53 +222,57 @@
         A promise now would cover tokens that are spent. The home first writes what
         is still unused, then promises.
         """
-        bank = await self.start()
-        home, lock = bank.homes["brest-1"], bank.keepers["brest-1"]._lock
-        bank.store.down = True
-        bank.boards["brest-1"].store.out_of_reach = True
-        bank.timer.time = lock.until + 0.1
-        held = await bank.hold("brest-1", "lorient-1", WORKSPACE, "big", 20_000)
+        cluster = await self.start_hosts()
+        home, lock = cluster.homes["brest-1"], cluster.keepers["brest-1"]._lock
+        cluster.store.down = True
+        cluster.boards["brest-1"].store.out_of_reach = True
+        cluster.timer.time = lock.until + 0.1
+        held = await cluster.hold("brest-1", "lorient-1", WORKSPACE, "big", 20_000)
         self.assertTrue(held)
-        bank.store.down = False
-        bank.boards["brest-1"].store.note_answer(bank.timer.time)
-        await bank.keepers["brest-1"].renew()
-        self.assertTrue(lock.is_open(bank.timer.time))
-        await home._tick()
+        cluster.store.down = False
+        cluster.boards["brest-1"].store.note_answer(cluster.timer.time)
+        await cluster.keepers["brest-1"].renew()
+        self.assertTrue(lock.is_open(cluster.timer.time))
+        await home._check_stocks()
         await home._draws[WORKSPACE]
-        await bank.keepers["brest-1"].renew()
-        self.assertFalse(lock.is_open(bank.timer.time))
+        await cluster.keepers["brest-1"].renew()
+        self.assertFalse(lock.is_open(cluster.timer.time))
 
-    async def test_lock_that_may_have_grown_binds(self) -> None:
+    async def test_unconfirmed_increase_of_the_lock_applies(self) -> None:
         """Lose the answer to a write that locks more than before.
 
         It may have landed, and a successor would then give back all of it. So the
         home must not grant from the greater part either.
         """
-        bank = await self.start()
-        account = bank.homes["brest-1"]._accounts[WORKSPACE]
+        cluster = await self.start_hosts()
+        account = cluster.homes["brest-1"]._accounts[WORKSPACE]
         change = StockChange(tokens=0, locked=account.unused)
-        bank.store.late_share = 1.0
+        cluster.store.late_share = 1.0
         with self.assertRaises(StoreUnavailableError):
-            await bank.homes["brest-1"]._records.change(account, change, account.served)
-        self.assertEqual(account.get_available(bank.timer.time), 0)
+            await cluster.homes["brest-1"]._records.change(
+                account, change, account.listed_requesters
+            )
+        self.assertEqual(account.get_available(cluster.timer.time), 0)
 
-    async def test_lost_return_stays_set_aside_after_a_conflict(self) -> None:
+    async def test_unconfirmed_return_stays_reserved_after_a_conflict(self) -> None:
         """Lose the answer to a return that landed, then write at the same place.
 
         The second write meets the first one's record. Until the account is read
         again the home must not grant what it gave back: another home may have it.
         """
-        bank = Bank(prepaid=10_000, home="brest-1")
-        bank.start("lorient-1")
-        home = bank.start("brest-1")
-        self.assertTrue(await bank.hold("brest-1", "lorient-1", WORKSPACE, "a", 9_000))
-        bank.settle("a", 1_000)
-        bank.store.lose_share = 1.0
+        cluster = EscrowCluster(prepaid=10_000, home="brest-1")
+        cluster.start("lorient-1")
+        home = cluster.start("brest-1")
+        self.assertTrue(
+            await cluster.hold("brest-1", "lorient-1", WORKSPACE, "a", 9_000)
+        )
+        cluster.settle("a", 1_000)
+        cluster.store.lose_share = 1.0
         await home.return_all()
-        bank.store.lose_share = 0.0
+        cluster.store.lose_share = 0.0
         account = home._accounts[WORKSPACE]
         # The end is known to the home as it was before the return.
-        home._records._ends[0] = account.pending_at
+        home._records._end_offsets[0] = account.pending_at
         await home._records.put(account, account.record)
         self.assertLessEqual(account.unused, 1_000)
 
--- a/tests/components/escrow/test_rosters.py
+++ b/tests/components/escrow/test_rosters.py
@@ -3,20 +3,20 @@
 import unittest
 
 from standins.keyed_store import KeyedStore
-from tests.components.escrow.common import WORKSPACE, Bank
+from tests.components.escrow.common import WORKSPACE, EscrowCluster
 from trefoilstage.components.escrow.rosters import (
-    MAX_KNOWN,
+    MAX_CACHED_ROSTERS,
     ROSTER_CODEC,
     Roster,
     RosterStore,
-    name_roster,
+    get_roster_name,
 )
 from trefoilstage.components.views.store import Listing, Topic
 
 N_HOSTS = 195
 N_PARTITIONS = 24
 # A home of a large fleet names hosts that did not ask yet once a second.
-MAX_LISTS_PER_S = 1
+MAX_ROSTERS_PER_S = 1
 
 
 def make_members(n_changed: int) -> dict[str, str]:
@@ -42,7 +42,7 @@
 class RosterStoreTest(unittest.IsolatedAsyncioTestCase):
     """Test lists of 195 hosts."""
 
-    async def test_one_list_is_read_without_all_others(self) -> None:
+    async def test_one_roster_is_read_without_all_others(self) -> None:
         """Write a list at each of 195 restarts, then recover a home that names one.
 
         With all lists in one partition each host that recovered an account read 2 MB,
@@ -52,23 +52,23 @@
         writer = RosterStore(store=store, n_partitions=N_PARTITIONS)
         for n_changed in range(N_HOSTS):
             await writer.write(make_members(n_changed))
-        name = name_roster(make_members(7))
+        name = get_roster_name(make_members(7))
         reader = RosterStore(store=store, n_partitions=N_PARTITIONS)
         self.assertEqual(await reader.read(name), make_members(7))
-        one = len(ROSTER_CODEC.encode(Roster(members=make_members(7))))
+        n_roster_bytes = len(ROSTER_CODEC.encode(Roster(members=make_members(7))))
         # Lists spread over the partitions by hash; one gets three times its share.
-        self.assertLess(store.n_bytes, 3 * one * N_HOSTS / N_PARTITIONS)
+        self.assertLess(store.n_bytes, 3 * n_roster_bytes * N_HOSTS / N_PARTITIONS)
 
-    async def test_list_of_an_earlier_version_is_found(self) -> None:
+    async def test_roster_of_an_earlier_version_is_found(self) -> None:
         """Read a list that a host wrote before lists were spread over partitions."""
         store = KeyedStore()
-        name = name_roster(make_members(7))
+        name = get_roster_name(make_members(7))
         value = ROSTER_CODEC.encode(Roster(members=make_members(7)))
         await store.put(Topic.ROSTERS, name, value)
         reader = RosterStore(store=store, n_partitions=N_PARTITIONS)
         self.assertEqual(await reader.read(name), make_members(7))
 
-    async def test_unreadable_and_missing_lists_are_told_apart_from_empty_ones(
+    async def test_unreadable_and_missing_rosters_are_not_empty_ones(
         self,
     ) -> None:
         store = KeyedStore()
@@ -78,46 +78,48 @@
         self.assertIsNone(await reader.read("missing"))
         self.assertEqual(await reader.read(""), {})
 
-    async def test_lists_in_memory_are_bounded(self) -> None:
+    async def test_cached_rosters_are_bounded(self) -> None:
         store = KeyedStore()
         rosters = RosterStore(store=store, n_partitions=N_PARTITIONS)
-        for n_changed in range(2 * MAX_KNOWN):
+        for n_changed in range(2 * MAX_CACHED_ROSTERS):
             await rosters.write(make_members(n_changed))
-        self.assertLessEqual(len(rosters._known), MAX_KNOWN)
-        self.assertLessEqual(len(rosters._written), MAX_KNOWN)
+        self.assertLessEqual(len(rosters._cached), MAX_CACHED_ROSTERS)
+        self.assertLessEqual(len(rosters._written), MAX_CACHED_ROSTERS)
         self.assertEqual(
-            await rosters.read(name_roster(make_members(0))), make_members(0)
+            await rosters.read(get_roster_name(make_members(0))), make_members(0)
         )
 
 
-class NamingTest(unittest.IsolatedAsyncioTestCase):
+class RosterUpdateTest(unittest.IsolatedAsyncioTestCase):
     """Test how often a home of a large fleet names the hosts that it serves."""
 
-    async def start(self) -> Bank:
+    async def start_hosts(self) -> EscrowCluster:
         """Return a home that hears of 30 more hosts, ten a second."""
-        bank = Bank(prepaid=200_000, home="brest-0")
+        cluster = EscrowCluster(prepaid=200_000, home="brest-0")
         for number in range(20):
-            bank.start(f"brest-{number}")
-        bank.meet_all()
+            cluster.start(f"brest-{number}")
+        cluster.update_all_peers()
         for number in range(20, 50):
-            bank.start(f"brest-{number}")
-            bank.timer.time += 0.1
-            bank.meet_all()
-            await bank.homes["brest-0"]._tick()
-            draw = bank.homes["brest-0"]._draws.get(WORKSPACE)
+            cluster.start(f"brest-{number}")
+            cluster.timer.time += 0.1
+            cluster.update_all_peers()
+            await cluster.homes["brest-0"]._check_stocks()
+            draw = cluster.homes["brest-0"]._draws.get(WORKSPACE)
             if draw is not None:
                 await draw
-        return bank
+        return cluster
 
-    async def test_starting_hosts_are_named_together(self) -> None:
+    async def test_starting_hosts_are_listed_together(self) -> None:
         """Start 30 hosts in 3 s; the home has no need to name each by itself."""
-        bank = await self.start()
-        listing = await bank.store.list_newest(Topic.ROSTERS)
-        self.assertLessEqual(len(listing.records), 1 + 3 * MAX_LISTS_PER_S)
-
-    async def test_host_that_asks_is_named_at_once(self) -> None:
-        bank = await self.start()
-        self.assertTrue(await bank.hold("brest-0", "brest-49", WORKSPACE, "a", 1_000))
+        cluster = await self.start_hosts()
+        listing = await cluster.store.list_newest(Topic.ROSTERS)
+        self.assertLessEqual(len(listing.records), 1 + 3 * MAX_ROSTERS_PER_S)
+
+    async def test_requesting_host_is_listed_immediately(self) -> None:
+        cluster = await self.start_hosts()
+        self.assertTrue(
+            await cluster.hold("brest-0", "brest-49", WORKSPACE, "a", 1_000)
+        )
 
 
 if __name__ == "__main__":
--- a/tests/components/escrow/test_start.py
+++ b/tests/components/escrow/test_start.py
@@ -3,8 +3,8 @@
 import unittest
 
 from tests.components.boards import make_board
-from tests.components.escrow.common import WORKSPACE, Bank
-from trefoilstage.components.escrow.home import SETTLE_S
+from tests.components.escrow.common import WORKSPACE, EscrowCluster
+from trefoilstage.components.escrow.home import STABLE_FLEET_S
 
 N_HOSTS = 20
 SILENT_S = 3.0
@@ -13,50 +13,50 @@
 class StartTest(unittest.IsolatedAsyncioTestCase):
     """Test when a home first draws for its workspaces."""
 
-    def start(self, n_hosts: int) -> Bank:
+    def start_hosts(self, n_hosts: int) -> EscrowCluster:
         """Return hosts of which one has just heard of another."""
-        bank = Bank(prepaid=200_000, home="brest-0")
-        bank.timer.time = 10.0
+        cluster = EscrowCluster(prepaid=200_000, home="brest-0")
+        cluster.timer.time = 10.0
         for number in range(n_hosts):
-            bank.start(f"brest-{number}")
-        bank.meet_all()
-        bank.boards["brest-0"].live_changed_at = bank.timer.time
-        return bank
+            cluster.start(f"brest-{number}")
+        cluster.update_all_peers()
+        cluster.boards["brest-0"].live_changed_at = cluster.timer.time
+        return cluster
 
-    async def tick(self, bank: Bank) -> bool:
+    async def check_stocks(self, cluster: EscrowCluster) -> bool:
         """Let the home keep its stocks; tell whether it draws."""
-        home = bank.homes["brest-0"]
-        await home._tick()
+        home = cluster.homes["brest-0"]
+        await home._check_stocks()
         draw = home._draws.get(WORKSPACE)
         if draw is not None:
             await draw
         return draw is not None
 
-    async def test_host_that_still_hears_of_others_draws_for_nobody(self) -> None:
+    async def test_home_does_not_draw_while_the_live_hosts_change(self) -> None:
         """Start hosts that hear of each other over a second.
 
         Each takes itself for the home of most workspaces while it knows few others. 83
         hosts made 1,100 draws in a second that the store refused, beside 365 others.
         """
-        bank = self.start(N_HOSTS)
-        self.assertFalse(await self.tick(bank))
-        bank.timer.time += SETTLE_S
-        bank.meet_all()
-        self.assertTrue(await self.tick(bank))
+        cluster = self.start_hosts(N_HOSTS)
+        self.assertFalse(await self.check_stocks(cluster))
+        cluster.timer.time += STABLE_FLEET_S
+        cluster.update_all_peers()
+        self.assertTrue(await self.check_stocks(cluster))
 
-    async def test_request_that_waits_is_drawn_for_at_once(self) -> None:
-        bank = self.start(N_HOSTS)
-        self.assertTrue(await bank.hold("brest-0", "brest-1", WORKSPACE, "a", 1_000))
+    async def test_waiting_request_causes_an_immediate_draw(self) -> None:
+        cluster = self.start_hosts(N_HOSTS)
+        self.assertTrue(await cluster.hold("brest-0", "brest-1", WORKSPACE, "a", 1_000))
 
-    async def test_small_fleet_draws_at_once(self) -> None:
-        bank = self.start(5)
-        self.assertTrue(await self.tick(bank))
+    async def test_small_fleet_draws_immediately(self) -> None:
+        cluster = self.start_hosts(5)
+        self.assertTrue(await self.check_stocks(cluster))
 
 
 class LiveHostsTest(unittest.TestCase):
     """Test when the live hosts count as changed."""
 
-    def test_hosts_that_come_and_go_are_a_change(self) -> None:
+    def test_lost_and_returned_hosts_are_a_change(self) -> None:
         """Lose one of three hosts, then hear of it again."""
         board = make_board("host-0", ["host-1", "host-2"])
         self.assertEqual(board.list_live_hosts(1.0, SILENT_S)[1:], ("host-1", "host-2"))
@@ -68,7 +68,7 @@
         self.assertEqual(len(board.list_live_hosts(6.0, SILENT_S)), 3)
         self.assertEqual(board.live_changed_at, 6.0)
 
-    def test_host_that_is_heard_again_in_time_is_none(self) -> None:
+    def test_heartbeat_within_the_timeout_is_no_change(self) -> None:
         board = make_board("host-0", ["host-1"])
         board.list_live_hosts(1.0, SILENT_S)
         board.peers["host-1"].last_heard = 4.0
--- a/tests/components/escrow/test_stock.py
+++ b/tests/components/escrow/test_stock.py
@@ -33,7 +33,7 @@
 class StockTest(unittest.TestCase):
     """Test the stock of a home."""
 
-    def test_little_lies_ready_late_in_a_budget(self) -> None:
+    def test_ready_stock_is_small_late_in_a_budget(self) -> None:
         """Ask for any demand with a third of the budget left.
 
         Both homes of a workspace may be lost at once, and 3% of the budget is what
@@ -52,10 +52,10 @@
         target = get_target(make_state(free=900_000), HomeRank.FIRST)
         self.assertGreaterEqual(target.ready + target.locked, 7 * 27_000)
 
-    def test_stand_in_locks_nothing(self) -> None:
+    def test_fallback_home_locks_nothing(self) -> None:
         self.assertEqual(get_target(make_state(), HomeRank.NONE).locked, 0)
 
-    def test_stock_in_order_is_left_alone(self) -> None:
+    def test_stock_at_its_target_is_not_changed(self) -> None:
         state = make_state()
         target = get_target(state, HomeRank.FIRST)
         full = make_state(
@@ -65,13 +65,13 @@
         )
         self.assertIsNone(plan_change(full, HomeRank.FIRST))
 
-    def test_waiting_requests_are_drawn_for(self) -> None:
+    def test_draw_covers_waiting_requests(self) -> None:
         """Let a dossier of 54,000 tokens wait; the draw makes it ready."""
         change = plan_change(make_state(waiting=54_000), HomeRank.FIRST)
         assert change is not None
         self.assertGreaterEqual(change.tokens - change.locked, 54_000)
 
-    def test_last_tokens_are_unlocked_for_who_waits(self) -> None:
+    def test_last_tokens_are_unlocked_for_waiting_requests(self) -> None:
         """Let a request wait with nothing free; it gets what was locked."""
         state = make_state(free=0, unused=9_000, locked=9_000, waiting=2_000)
         change = plan_change(state, HomeRank.FIRST)
@@ -79,7 +79,7 @@
         self.assertEqual(change.tokens, 0)
         self.assertLessEqual(change.locked, 7_000)
 
-    def test_former_home_gives_all_back(self) -> None:
+    def test_previous_home_returns_all_tokens(self) -> None:
         state = make_state(unused=100_000, locked=80_000, demand=0.0)
         change = plan_change(state, HomeRank.NONE)
         assert change is not None
--- a/trefoilstage/components/escrow/__init__.py
+++ b/trefoilstage/components/escrow/__init__.py
@@ -1,1 +1,1 @@
-"""Spend prepaid budgets from escrow drawn on the store."""
+"""Reserve tokens of prepaid budgets for requests, from escrow drawn on the store."""
--- a/trefoilstage/components/escrow/account.py
+++ b/trefoilstage/components/escrow/account.py
@@ -1,4 +1,4 @@
-"""Account for one workspace's tokens at its home; pure."""
+"""Account for the tokens of one workspace at its home; pure."""
 
 from collections import OrderedDict
 from collections.abc import Collection, Mapping
@@ -14,20 +14,21 @@
     plan_change,
 )
 
-# Of the last tenth of a budget, a long request gets no more than half of what is left.
-# One dossier of 12,000 tokens would else take what serves a dozen short questions, and
-# for the rest of the day only calls without tokens would be served.
-LAST_TENTH = 0.1
-LAST_SHARE = 0.5
+# In the last tenth of a budget, a long request gets at most half of what is left. One
+# request of 12,000 tokens would otherwise take what serves a dozen short ones, and for
+# the rest of the day only requests without tokens would be served.
+LOW_BALANCE_SHARE = 0.1
+MAX_LOW_BALANCE_SHARE = 0.5
 LONG_REQUEST_TOKENS = 4_000
-# Of the prepaid tokens. What may go unused without a refusal being false.
-SPENT_SHARE = 0.97
-MAX_SETTLED = 2_000
+# Share of the prepaid tokens from which a budget counts as exhausted; up to 3% may go
+# unused without a refusal being false.
+EXHAUSTED_SHARE = 0.97
+MAX_REMEMBERED_SETTLEMENTS = 2_000
 
 
 @dataclass(kw_only=True, slots=True)
 class EscrowAccount:
-    """Hold what this incarnation drew for a workspace and what it did with it."""
+    """Represent an account with what this incarnation drew and granted of it."""
 
     workspace: str
     host: str
@@ -39,57 +40,57 @@
     holds: dict[str, int] = field(default_factory=dict)
     settled: OrderedDict[str, None] = field(default_factory=OrderedDict)
     requesters: dict[str, str] = field(default_factory=dict)  # by request held
-    used: dict[str, int] = field(default_factory=dict)  # by requester served
+    used: dict[str, int] = field(default_factory=dict)  # by listed requester
     rosters: dict[str, dict[str, str]] = field(default_factory=dict)  # by name
     used_by_former: int = 0
     demand: Demand = field(default_factory=Demand)
-    waiting: int = 0  # tokens that requests wait for
-    lock: ReserveLock = field(default_factory=ReserveLock)  # of the whole host
-    pending: list[StockChange] = field(default_factory=list)  # writes not known to land
-    pending_at: int = -1  # where the partition ended when they were sent
+    waiting: int = 0  # tokens that waiting requests need
+    lock: ReserveLock = field(default_factory=ReserveLock)  # one for the whole host
+    pending: list[StockChange] = field(default_factory=list)  # writes not confirmed
+    pending_at: int = -1  # the partition's end offset when they were sent
 
     @property
     def drawn(self) -> int:
-        """Return what this incarnation has drawn, as the store has confirmed."""
+        """Return the tokens that this incarnation has drawn, confirmed by the store."""
         holder = self.record.holders.get(self.incarnation)
         return holder.drawn if holder else 0
 
     @property
-    def served(self) -> dict[str, str]:
-        """Return the incarnations that may get grants, as the store has them."""
+    def listed_requesters(self) -> dict[str, str]:
+        """Return the incarnations that may get grants by the stored roster, by host."""
         holder = self.record.holders.get(self.incarnation)
         return self.rosters.get(holder.roster, {}) if holder else {}
 
     @property
     def held(self) -> int:
-        """Return the tokens held for requests under way."""
+        """Return the tokens held for running requests."""
         return sum(self.holds.values())
 
     @property
     def locked(self) -> int:
-        """Return the most that the store may say is locked here."""
+        """Return the most tokens that the store may have as locked here."""
         holder = self.record.holders.get(self.incarnation)
-        pledged = (change.locked for change in self.pending)
-        return max(holder.locked if holder else 0, *pledged, 0)
+        pending_locked = (change.locked for change in self.pending)
+        return max(holder.locked if holder else 0, *pending_locked, 0)
 
     @property
     def returning(self) -> int:
-        """Return the most tokens that a write may give back yet."""
+        """Return the most tokens that an unconfirmed write may return."""
         return max(0, *(-change.tokens for change in self.pending), 0)
 
     @property
     def unused(self) -> int:
         """Return the tokens that are drawn here and neither spent nor held.
 
-        When the prepaid tokens were lowered below what is drawn, the excess is
-        not spent either; each holder leaves all of it, which is safe.
+        If the prepaid tokens were lowered below what is drawn, the excess must not
+        be spent either; each holder subtracts all of it, which is safe.
         """
         excess = max(0, self.record.drawn - self.prepaid)
         return self.drawn - self.spent - self.held - self.returning - excess
 
     @property
-    def is_touched(self) -> bool:
-        """Tell whether tokens are in use that the store may say are locked."""
+    def has_used_locked(self) -> bool:
+        """Return whether tokens are in use that the store may have as locked."""
         return self.locked > 0 and self.unused < self.locked
 
     def get_available(self, now: float) -> int:
@@ -98,56 +99,56 @@
 
     @property
     def free(self) -> int:
-        """Return the prepaid tokens that nobody has drawn."""
+        """Return the prepaid tokens that no host has drawn."""
         return max(0, self.prepaid - self.record.drawn)
 
-    def take_record(self, record: AccountRecord, offset: int) -> None:
-        """Take in the store's record, unless it is older than the known one."""
+    def update_record(self, record: AccountRecord, offset: int) -> None:
+        """Replace the record by the store's, unless that is older."""
         if offset > self.record_offset:
             self.record = record
             self.record_offset = offset
 
     def start_change(self, change: StockChange, end_offset: int) -> None:
-        """Keep tokens from being held while a write may give them back or lock them."""
+        """Reserve the tokens that a write may return or lock, until it is confirmed."""
         self.pending.append(change)
         self.pending_at = end_offset
 
-    def undo_change(self) -> None:
-        """Forget the last write, which the store refused; earlier ones may land."""
+    def drop_last_change(self) -> None:
+        """Drop the last write, which the store refused; earlier ones stay pending."""
         self.pending.pop()
 
-    def end_changes(self) -> None:
-        """Note that each write has landed or can no longer land."""
+    def clear_pending(self) -> None:
+        """Drop all pending writes: each is stored or can no longer be."""
         self.pending.clear()
 
-    def take_end(self, end_offset: int) -> None:
-        """Take in where the partition ends, as of the record that is known.
+    def resolve_pending(self, end_offset: int) -> None:
+        """Drop pending writes once the partition has grown past their offset.
 
-        A write whose answer was lost lands at the end that it was sent for, or
-        never. Held again before that is known, tokens that it gave back would be
-        spent twice.
+        A write without a reply is stored at the end offset that it was sent for, or
+        never. If tokens that it returns were held again before that is known, they
+        would be spent twice.
         """
         if end_offset > self.pending_at:
-            self.end_changes()
+            self.clear_pending()
 
-    def serves(self, requester: str) -> bool:
-        """Tell whether the store names an incarnation as one that gets grants."""
-        return requester in self.used and requester in self.served.values()
+    def is_listed(self, requester: str) -> bool:
+        """Return whether the stored roster lists an incarnation as a requester."""
+        return requester in self.used and requester in self.listed_requesters.values()
 
     def hold(self, request: str, tokens: int, requester: str, now: float) -> bool:
         """Hold tokens for a request if they are available; idempotent.
 
-        Only a requester that the store names gets any: when this host ends, those
-        named are asked what they got.
+        Only a requester on the stored roster gets tokens, because the listed hosts
+        are asked about their grants when this host ends.
         """
         if request in self.holds:
             return self.requesters[request] == requester
-        # The settlement of a hold that was given up may overtake the hold.
+        # The settlement of an abandoned hold may arrive before the hold.
         if request in self.settled or tokens > self.get_available(now):
             return False
-        if self._is_too_long(tokens, self.unused + self.free):
+        if self._exceeds_low_balance_limit(tokens, self.unused + self.free):
             return False
-        if not self.serves(requester):
+        if not self.is_listed(requester):
             return False
         self.holds[request] = tokens
         self.requesters[request] = requester
@@ -155,7 +156,7 @@
         return True
 
     def settle(self, request: str, spent: int) -> None:
-        """End a hold and count what was spent; idempotent."""
+        """End a hold and count the tokens spent; idempotent."""
         if request in self.settled:
             return
         held = self.holds.pop(request, None)
@@ -165,14 +166,14 @@
             requester = self.requesters.pop(request)
             if requester in self.used:
                 self.used[requester] -= held - spent
-        while len(self.settled) > MAX_SETTLED:
+        while len(self.settled) > MAX_REMEMBERED_SETTLEMENTS:
             self.settled.popitem(last=False)
 
-    def serve_only(self, requesters: Collection[str]) -> None:
-        """Serve some incarnations, and no more those that have ended.
+    def replace_requesters(self, requesters: Collection[str]) -> None:
+        """Grant only to these incarnations from now on, not to ended ones.
 
-        At once, before the store names the new ones: a former one that got a grant
-        after its total was taken would be missing in it.
+        This happens before the new roster is stored: a grant to a removed requester
+        after its total is taken would be missing from the total.
         """
         for former in set(self.used) - set(requesters):
             self.used_by_former += self.used.pop(former)
@@ -180,27 +181,27 @@
             self.used.setdefault(requester, 0)
 
     def can_cover(self, tokens: int) -> bool:
-        """Tell whether a draw could make enough tokens available."""
+        """Return whether a draw could make enough tokens available."""
         left = self.unused + self.free
-        return left >= tokens and not self._is_too_long(tokens, left)
+        return left >= tokens and not self._exceeds_low_balance_limit(tokens, left)
 
-    def _is_too_long(self, tokens: int, left: int) -> bool:
-        if tokens < LONG_REQUEST_TOKENS or left >= LAST_TENTH * self.prepaid:
+    def _exceeds_low_balance_limit(self, tokens: int, left: int) -> bool:
+        if tokens < LONG_REQUEST_TOKENS or left >= LOW_BALANCE_SHARE * self.prepaid:
             return False
-        return tokens > LAST_SHARE * left
+        return tokens > MAX_LOW_BALANCE_SHARE * left
 
     def is_nearly_spent(self, tokens: int) -> bool:
-        """Tell whether what was really spent or held leaves no room for a request.
+        """Return whether the tokens spent or held leave no room for a request.
 
-        Tokens that lost hosts had drawn make a budget look used up. Only when it
-        is used up in truth is the caller told that its balance is too low.
+        Tokens drawn by lost hosts make a budget look used up. The caller is told
+        that its balance is too low only if the tokens were really spent or held.
         """
         others = self.record.spent - self._get_reported_spent()
         used = others + self.spent + self.held
-        return used + tokens > SPENT_SHARE * self.prepaid
+        return used + tokens > EXHAUSTED_SHARE * self.prepaid
 
     def plan_change(self, now: float, rank: HomeRank) -> StockChange | None:
-        """Return what to draw, give back or lock now, None if nothing."""
+        """Return what to draw, return or lock now, None if nothing."""
         state = StockState(
             prepaid=self.prepaid,
             free=self.free,
@@ -212,11 +213,11 @@
         return plan_change(state, rank)
 
     def make_record(
-        self, change: StockChange, served: Mapping[str, str], roster: str
+        self, change: StockChange, members: Mapping[str, str], roster: str
     ) -> AccountRecord:
         """Return the record after a change of this incarnation's stock."""
-        self.serve_only(served.values())
-        self.rosters[roster] = dict(served)
+        self.replace_requesters(members.values())
+        self.rosters[roster] = dict(members)
         holder = Holder(
             host=self.host,
             drawn=self.drawn + change.tokens,
--- a/trefoilstage/components/escrow/account_store.py
+++ b/trefoilstage/components/escrow/account_store.py
@@ -1,4 +1,4 @@
-"""Read and write accounts' records in the store, one writer at an offset."""
+"""Read and write account records in the store, with one writer per offset."""
 
 from collections.abc import Mapping
 
@@ -23,11 +23,11 @@
 
 
 class AccountStore:
-    """Keep the accounts as the store has them, and where each partition ends.
+    """Read and write account records, and track the end offset of each partition.
 
-    A write counts only if its partition ended where this host saw it end, so no two
-    hosts draw the same tokens. A write whose answer was lost either took that place,
-    and is then read back, or can never land.
+    A write succeeds only if its partition still ends at the offset that this host
+    read, so that no two hosts draw the same tokens. A write without a reply was
+    either stored at that offset, and is then read back, or can never be stored.
     """
 
     def __init__(
@@ -43,67 +43,75 @@
         self._n_partitions = n_partitions
         self._accounts = accounts
         self._rosters = RosterStore(store=store, n_partitions=n_partitions)
-        self._ends: dict[int, int] = {}
+        self._end_offsets: dict[int, int] = {}
         self._read_at: dict[str, float] = {}
 
-    def is_known(self, workspace: str) -> bool:
-        """Tell whether an account may be written without reading it first.
+    def can_write(self, workspace: str) -> bool:
+        """Return whether an account may be written without reading it first.
 
-        An account that was never read looks empty, and a write would drop what
-        other hosts have drawn.
+        An account that was never read looks empty, and a write would drop the draws
+        of other hosts.
         """
-        return workspace in self._read_at and self._find(workspace) in self._ends
+        return (
+            workspace in self._read_at
+            and self._get_partition(workspace) in self._end_offsets
+        )
 
-    def get_age(self, workspace: str) -> float:
+    def get_age_s(self, workspace: str) -> float:
         """Return the seconds since an account was read."""
         read_at = self._read_at.get(workspace, float("-inf"))
         return self._timer.now() - read_at
 
-    def forget_end(self, workspace: str) -> None:
-        """Read a partition again before the next write, after a lost answer."""
-        self._ends.pop(self._find(workspace), None)
+    def forget_end_offset(self, workspace: str) -> None:
+        """Forget a partition's end, so that it is read again before the next write."""
+        self._end_offsets.pop(self._get_partition(workspace), None)
 
-    async def find_served(self, holder: Holder) -> Mapping[str, str] | None:
-        """Return who may have got grants of a holder, None if that can't be told."""
+    async def read_roster(self, holder: Holder) -> Mapping[str, str] | None:
+        """Return the requesters that a holder lists, None if the roster is missing."""
         return await self._rosters.read(holder.roster)
 
     async def refresh(self, workspace: str) -> None:
-        """Read the records of an account's partition."""
-        partition = self._find(workspace)
+        """Read the records of an account's partition.
+
+        Raise StoreUnavailableError if a record cannot be decoded.
+        """
+        partition = self._get_partition(workspace)
         listing = await self._store.list_newest(Topic.ACCOUNTS, partition)
         for record in listing.records:
-            known = self._accounts.get(record.key)
-            if known is None or record.value is None:
+            account = self._accounts.get(record.key)
+            if account is None or record.value is None:
                 continue
             try:
-                known.take_record(ACCOUNT_CODEC.decode(record.value), record.offset)
+                account.update_record(ACCOUNT_CODEC.decode(record.value), record.offset)
             except MalformedMessageError as error:
-                # Unreadable means unknown: nothing more is drawn on it.
+                # The balance is unknown, so no more tokens are drawn from the account.
                 log_event(
                     Event.RECORD_MALFORMED, topic=Topic.ACCOUNTS, error=str(error)
                 )
                 raise StoreUnavailableError("malformed account record") from error
-        self._ends[partition] = listing.end_offset
+        self._end_offsets[partition] = listing.end_offset
         self._read_at[workspace] = self._timer.now()
-        self._accounts[workspace].take_end(listing.end_offset)
+        self._accounts[workspace].resolve_pending(listing.end_offset)
 
     async def change(
-        self, account: EscrowAccount, change: StockChange, served: Mapping[str, str]
+        self, account: EscrowAccount, change: StockChange, members: Mapping[str, str]
     ) -> bool:
-        """Draw, give back or lock tokens; tell whether the write counted."""
-        roster = await self._rosters.write(served)
-        record = account.make_record(change, served, roster)
-        account.start_change(change, self._ends[self._find(account.workspace)])
+        """Draw, return or lock tokens; return whether the write was stored."""
+        roster = await self._rosters.write(members)
+        record = account.make_record(change, members, roster)
+        account.start_change(
+            change, self._end_offsets[self._get_partition(account.workspace)]
+        )
         try:
             return await self.put(account, record)
         except StoreRefusedError:
-            account.undo_change()
+            account.drop_last_change()
             raise
 
     async def put(self, account: EscrowAccount, record: AccountRecord) -> bool:
-        """Write a record; tell whether the write counted."""
-        partition = self._find(account.workspace)
-        end_offset = self._ends[partition]
+        """Write a record; return whether it was stored."""
+        partition = self._get_partition(account.workspace)
+        end_offset = self._end_offsets[partition]
         offset = await self._store.put(
             Topic.ACCOUNTS,
             account.workspace,
@@ -112,14 +120,14 @@
             at=end_offset,
         )
         if offset is None:
-            # An earlier write whose answer was lost may have taken the place. What it
-            # gave back stays set aside until the record is read again.
+            # An earlier write without a reply may be stored at this offset. Tokens that
+            # it returned stay reserved until the record is read again.
             return False
-        # The end has moved on, and with it the place where earlier writes could land.
-        account.end_changes()
-        self._ends[partition] = offset + 1
-        account.take_record(record, offset)
+        # The partition has grown, so earlier writes can no longer be stored.
+        account.clear_pending()
+        self._end_offsets[partition] = offset + 1
+        account.update_record(record, offset)
         return True
 
-    def _find(self, workspace: str) -> int:
+    def _get_partition(self, workspace: str) -> int:
         return pick_stream(workspace, self._n_partitions)
--- a/trefoilstage/components/escrow/client.py
+++ b/trefoilstage/components/escrow/client.py
@@ -1,4 +1,4 @@
-"""Get tokens held for this host's requests, and settle them."""
+"""Request holds on tokens for this host's requests, and settle them."""
 
 import asyncio
 import itertools
@@ -19,9 +19,9 @@
 from trefoilstage.components.escrow.patience import Patience
 from trefoilstage.components.escrow.ranking import HomeRanking
 from trefoilstage.components.escrow.returns import (
-    estimate_return,
+    add_retry_jitter,
+    estimate_store_return,
     make_refusal,
-    spread_return,
 )
 from trefoilstage.components.fleet.membership import FleetMembership
 from trefoilstage.components.peers.links import PeerLinks
@@ -31,18 +31,18 @@
 from trefoilstage.helpers.verdict import Reason, Refusal
 from trefoilstage.timer import TimerService
 
-FLUSH_S = 0.05
-# The home's own wait for a draw is 1 s.
+FLUSH_INTERVAL_S = 0.05
+# The home itself waits up to 1 s for a draw.
 HOLD_TIMEOUT_S = 1.1
 SETTLE_TIMEOUT_S = 1.0
-# Settlements that the home did not take are kept this many; past it the oldest
+# The most settlements kept for a home that has not confirmed them. The oldest beyond it
 # are dropped, and their holds count as spent in full.
-MAX_UNSETTLED = 5_000
+MAX_KEPT_SETTLEMENTS = 5_000
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Hold:
-    """Name who holds tokens for a request; without a home nothing is held."""
+    """Describe a hold on tokens; an empty home means that no tokens are held."""
 
     workspace: str
     request: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HoldRefused:
-    """Tell why no home holds tokens, and when the home may use its locked ones."""
+    """Describe why no home holds tokens, and the wait for its locked tokens."""
 
     reason: Reason
     lock_wait_s: float = 0.0
@@ -63,7 +63,7 @@
 
 
 class EscrowClient(Service):
-    """Ask the home of a workspace to hold and settle tokens."""
+    """Request holds from the homes of workspaces and send them settlements."""
 
     def __init__(
         self,
@@ -89,29 +89,31 @@
         self._unsettled: dict[tuple[str, str], list[SettledHold]] = defaultdict(list)
 
     async def on_start(self) -> None:
-        """Start to pass settlements on."""
+        """Start to send settlements periodically."""
         self._unsubscribe = self._timer.subscribe(
-            name="settlements", interval_s=FLUSH_S, callback=self._flush
+            name="settlements", interval_s=FLUSH_INTERVAL_S, callback=self._flush
         )
 
     async def on_stop(self) -> None:
-        """Stop passing settlements on."""
+        """Stop sending settlements."""
         self._unsubscribe()
 
     async def hold(
         self, workspace: str, request: str, tokens: int, patience: Patience
     ) -> Hold | Refusal:
-        """Return a hold for a request, or why it is refused.
+        """Return a hold for a request, or its refusal.
 
         While the store is out of reach and the stock is used up, the request waits
-        for as long as that can help it.
+        as long as it may still get tokens that way.
         """
         if not self._is_prepaid(workspace) or tokens == 0:
             return Hold(workspace=workspace, request=request, tokens=0)
-        for n_try in itertools.count():
-            # What was refused may have been settled under its name already.
-            name = f"{request}/{n_try}"
-            answer = await self._ask_homes(workspace, name, tokens, repeat=n_try > 0)
+        for n_retries in itertools.count():
+            # A refused hold may have been settled already; each attempt has a new name.
+            hold_name = f"{request}/{n_retries}"
+            answer = await self._request_from_homes(
+                workspace, hold_name, tokens, repeat=n_retries > 0
+            )
             if isinstance(answer, Hold):
                 return answer
             wait_s = self._plan_wait(answer, patience)
@@ -120,36 +122,38 @@
             await asyncio.sleep(wait_s)
         raise AssertionError("unreachable")
 
-    async def _ask_homes(
+    async def _request_from_homes(
         self, workspace: str, request: str, tokens: int, *, repeat: bool
     ) -> Hold | HoldRefused:
-        first: HoldRefused | None = None
-        for home in self._ranking.list_homes(workspace):
-            answer = await self._ask(home, workspace, request, tokens, repeat=repeat)
+        first_refusal: HoldRefused | None = None
+        for home in self._ranking.list_homes_to_ask(workspace):
+            answer = await self._request_from_home(
+                home, workspace, request, tokens, repeat=repeat
+            )
             if isinstance(answer, Hold):
                 return answer
-            # The home knows most of the account; the others may still hold tokens.
-            first = first or answer
-        return first or HoldRefused(reason=Reason.BUDGET_UNCONFIRMED)
+            # The home knows the account best; the fallbacks may still have tokens.
+            first_refusal = first_refusal or answer
+        return first_refusal or HoldRefused(reason=Reason.BUDGET_UNCONFIRMED)
 
-    def _plan_wait(self, refused: HoldRefused, patience: Patience) -> float | None:
-        if refused.reason is not Reason.BUDGET_UNCONFIRMED:
+    def _plan_wait(self, refusal: HoldRefused, patience: Patience) -> float | None:
+        if refusal.reason is not Reason.BUDGET_UNCONFIRMED:
             return None
         now = self._timer.now()
         return patience.plan_wait(
             now,
-            lock_wait_s=refused.lock_wait_s,
-            return_s=estimate_return(self._board.store.get_silence(now)),
+            lock_wait_s=refusal.lock_wait_s,
+            store_return_s=estimate_store_return(self._board.store.get_silence(now)),
         )
 
-    def _refuse(self, refused: HoldRefused, patience: Patience) -> Refusal:
+    def _refuse(self, refusal: HoldRefused, patience: Patience) -> Refusal:
         now = self._timer.now()
-        return_s = estimate_return(self._board.store.get_silence(now))
-        return_s = spread_return(return_s, patience, now, self._generator)
-        return make_refusal(refused.reason, return_s)
+        retry_after_s = estimate_store_return(self._board.store.get_silence(now))
+        retry_after_s = add_retry_jitter(retry_after_s, patience, now, self._generator)
+        return make_refusal(refusal.reason, retry_after_s)
 
     def settle(self, hold: Hold, spent: int) -> None:
-        """Count what a request spent of its hold."""
+        """Settle a hold with what its request spent."""
         if not hold.home:
             return
         spent = min(spent, hold.tokens)
@@ -165,7 +169,7 @@
             self._unsettled[hold.home, hold.incarnation].append(item)
 
     async def flush(self) -> None:
-        """Pass on what is not settled yet."""
+        """Send all settlements that are not sent yet."""
         await self._flush()
 
     def _is_prepaid(self, workspace: str) -> bool:
@@ -173,7 +177,7 @@
         config = configuration and configuration.workspaces.get(workspace)
         return bool(config and config.prepaid_tokens is not None)
 
-    async def _ask(
+    async def _request_from_home(
         self, home: str, workspace: str, request: str, tokens: int, *, repeat: bool
     ) -> Hold | HoldRefused:
         message = HoldTokens(
@@ -186,17 +190,17 @@
         peer = self._board.peers.get(home)
         if home == self._board.host:
             incarnation = self._board.incarnation
-            refused = await self._hold_here(message)
+            refusal = await self._hold_locally(message)
         elif peer is None:
-            # It left while another home was asked.
+            # The host left while another home was asked.
             return UNCONFIRMED
         else:
             incarnation = peer.incarnation
-            refused = await self._hold_there(peer, message)
-        if refused is not None:
-            return refused
+            refusal = await self._hold_at_peer(peer, message)
+        if refusal is not None:
+            return refusal
         if not self._book.accept(incarnation, workspace, tokens):
-            # The home was taken for ended while its answer was on its way.
+            # The home was sealed while its reply was in flight.
             return UNCONFIRMED
         return Hold(
             workspace=workspace,
@@ -206,7 +210,7 @@
             incarnation=incarnation,
         )
 
-    async def _hold_here(self, message: HoldTokens) -> HoldRefused | None:
+    async def _hold_locally(self, message: HoldTokens) -> HoldRefused | None:
         try:
             reason = await self._home.hold(
                 message.workspace,
@@ -216,24 +220,24 @@
                 repeat=message.repeat,
             )
         except asyncio.CancelledError:
-            # Held or not, nothing is sent for it any more.
-            self._home.settle((make_undone(message),))
+            # The request is cancelled; release the tokens, in case they are held.
+            self._home.settle((make_release(message),))
             raise
         if reason is None:
             return None
-        return HoldRefused(reason=reason, lock_wait_s=self._home.get_lock_wait())
+        return HoldRefused(reason=reason, lock_wait_s=self._home.get_lock_wait_s())
 
-    async def _hold_there(
+    async def _hold_at_peer(
         self, peer: PeerState, message: HoldTokens
     ) -> HoldRefused | None:
         home = peer.host
         link = self._links.get_link(peer.peer_url)
-        undone = make_undone(message)
+        release = make_release(message)
         try:
             reply = await link.call(message, timeout_s=HOLD_TIMEOUT_S)
         except PeerUnavailableError as error:
-            self._note_failed(peer)
-            self._unsettled[home, peer.incarnation].append(undone)
+            self._mark_failed(peer)
+            self._unsettled[home, peer.incarnation].append(release)
             log_event(
                 Event.HOLD_UNANSWERED,
                 peer=home,
@@ -243,24 +247,24 @@
             )
             return UNCONFIRMED
         except asyncio.CancelledError:
-            self._unsettled[home, peer.incarnation].append(undone)
+            self._unsettled[home, peer.incarnation].append(release)
             raise
         if not isinstance(reply, HoldReply):
             return UNCONFIRMED
         if reply.refused is None and reply.incarnation != peer.incarnation:
-            # A new incarnation answered. Its hold is settled with itself.
-            self._unsettled[home, reply.incarnation].append(undone)
+            # A new incarnation replied. Its hold is released with it.
+            self._unsettled[home, reply.incarnation].append(release)
             self._membership.confirm(home)
             return UNCONFIRMED
         if reply.refused is None:
             return None
         return HoldRefused(reason=reply.refused, lock_wait_s=reply.lock_wait_s)
 
-    def _note_failed(self, peer: PeerState) -> None:
-        """Ask another home next time.
+    def _mark_failed(self, peer: PeerState) -> None:
+        """Mark a peer as failed, so that another home is asked next time.
 
-        Not for a full link of this host: over that no home answers in time, and taken
-        for lost one after the other, all of them would be asked in vain.
+        Not while this host's own link is full: no home replies in time over it, and
+        the host would take one home after the other for lost.
         """
         if not self._board.is_link_full(self._timer.now()):
             peer.failed = True
@@ -270,28 +274,30 @@
         for (home, incarnation), holds in list(self._unsettled.items()):
             peer = self._board.peers.get(home)
             if not holds or peer is None or peer.incarnation != incarnation:
-                # An ended incarnation's holds were counted as spent.
+                # Holds of an ended incarnation were counted as spent.
                 del self._unsettled[home, incarnation]
                 continue
             del self._unsettled[home, incarnation]
-            self.add_future(self._send(home, incarnation, holds[-MAX_UNSETTLED:]))
+            self.add_future(
+                self._send_settlements(home, incarnation, holds[-MAX_KEPT_SETTLEMENTS:])
+            )
 
-    async def _send(
+    async def _send_settlements(
         self, home: str, incarnation: str, holds: list[SettledHold]
     ) -> None:
         peer = self._board.peers.get(home)
         if peer is None:
-            # It left and gave its stock back; what it held then counts as spent.
+            # The host returned its stock when it left, and its holds count as spent.
             return
         link = self._links.get_link(peer.peer_url)
         message = SettleHolds(incarnation=incarnation, holds=tuple(holds))
         try:
             await link.call(message, timeout_s=SETTLE_TIMEOUT_S)
         except PeerUnavailableError:
-            # Counted once only, so it may be told again.
+            # The home counts a settlement only once, so it can be sent again.
             self._unsettled[home, incarnation] += holds
 
 
-def make_undone(message: HoldTokens) -> SettledHold:
-    """Return the settlement of a hold for which nothing is sent."""
+def make_release(message: HoldTokens) -> SettledHold:
+    """Return the settlement of a hold whose request was not sent."""
     return SettledHold(workspace=message.workspace, request=message.request, spent=0)
--- a/trefoilstage/components/escrow/grants.py
+++ b/trefoilstage/components/escrow/grants.py
@@ -1,4 +1,4 @@
-"""Remember what homes have granted to this host; pure."""
+"""Keep the totals of what homes have granted to this host; pure."""
 
 from collections import defaultdict
 from dataclasses import dataclass, field
@@ -6,24 +6,25 @@
 
 @dataclass(kw_only=True, slots=True)
 class GrantTotals:
-    """Hold what one incarnation granted to this host for one workspace."""
+    """Count what one incarnation of a home granted to this host for a workspace."""
 
     spent: int = 0
     held: int = 0
 
     @property
     def used(self) -> int:
-        """Return what was spent, or may still be."""
+        """Return the tokens that were spent or may still be."""
         return self.spent + self.held
 
 
 @dataclass(kw_only=True, slots=True)
 class GrantBook:
-    """Witness the grants of homes, and refuse those of a home that has ended.
+    """Witness the grants of homes, and refuse the grants of sealed homes.
 
-    When a home ends, what it had drawn and not granted is known to nobody else. Each
-    host it granted to says what that was and takes no grant of it any more, also none
-    that is still on its way. The rest can then be drawn again.
+    Only the home itself knows how many of its drawn tokens it has not granted. After
+    it ends, each host that received grants (a witness) seals it: the host reports
+    what it received and refuses later grants, including those already on their way.
+    All other tokens can then be drawn again.
     """
 
     totals: dict[str, dict[str, GrantTotals]] = field(
@@ -32,20 +33,20 @@
     sealed: set[str] = field(default_factory=set)
 
     def accept(self, incarnation: str, workspace: str, tokens: int) -> bool:
-        """Take a grant, unless its home was sealed meanwhile."""
+        """Count a grant; return False if its home's incarnation is sealed."""
         if incarnation in self.sealed:
             return False
         self.totals[incarnation][workspace].held += tokens
         return True
 
     def settle(self, incarnation: str, workspace: str, tokens: int, spent: int) -> None:
-        """Count what a request spent of its grant."""
+        """Replace a request's held tokens by what it spent of them."""
         totals = self.totals[incarnation][workspace]
         totals.held -= tokens
         totals.spent += spent
 
     def seal(self, incarnation: str) -> dict[str, int]:
-        """Refuse an incarnation's grants from now on; return what was used of it."""
+        """Refuse an incarnation's later grants; return what was used, by workspace."""
         self.sealed.add(incarnation)
         return {
             workspace: totals.used
--- a/trefoilstage/components/escrow/home.py
+++ b/trefoilstage/components/escrow/home.py
@@ -1,4 +1,8 @@
-"""Hold tokens for the requests of all hosts, as the home of some workspaces."""
+"""Hold tokens for the requests of all hosts, as the home of some workspaces.
+
+The home draws tokens from a workspace's account in the store and keeps a stock of them.
+It grants tokens to a request by a hold, which the request settles with what it spent.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -25,28 +29,28 @@
 from trefoilstage.helpers.verdict import Reason
 from trefoilstage.timer import TimerService
 
-TICK_S = 0.1
+STOCK_CHECK_INTERVAL_S = 0.1
 # A draw takes a read and a write: 10 to 18 ms, and 0.6 s when the store is slow. A
-# request that waits for it is late; refused, it would not be served at all.
+# request that waits for it is late, but a refused one would not be served at all.
 DRAW_WAIT_S = 1.0
-MAX_CONFLICTS = 8
-# After a failed draw the account is left alone for a moment: each call is priced,
-# and requests meanwhile are refused at once instead of waiting in vain.
-FAILURE_PAUSE_S = 0.3
-# An account that was found used up is looked at again this often, so that tokens
-# given back by other hosts are seen.
-EXHAUSTED_CHECK_S = 0.5
-
-# When all hosts of a large fleet start, each home would write a list of all of them at
-# every tick. A requester that is not on it yet and asks has it written at once.
-NAMING_PAUSE_S = 1.0
-# While a large fleet starts, each host knows some of the others only and takes itself
-# for the home of many workspaces; their draws would pass what the store takes. Without
-# a request that waits for it, an account is first read once the live hosts have stayed
-# the same this long.
-SETTLE_S = 1.0
-# Between two tries to recover an ended home's tokens; a witness may be out of reach.
-RECOVERY_PAUSE_S = 0.5
+MAX_WRITE_TRIES = 8
+# After a failed draw the home makes no calls for the account: each call is charged,
+# and requests are refused immediately instead of waiting for a draw that fails.
+FAILED_DRAW_PAUSE_S = 0.3
+# An account without free tokens is read again at this interval, to find tokens that
+# other hosts returned.
+EXHAUSTED_REREAD_INTERVAL_S = 0.5
+
+# When all hosts of a large fleet start, each home would otherwise write a roster at
+# every stock check. A request from an unlisted host writes the roster immediately.
+ROSTER_UPDATE_INTERVAL_S = 1.0
+# While a large fleet starts, each host knows only some of the others and takes itself
+# for the home of many workspaces; the draws would exceed what the store accepts. Unless
+# a request waits for it, an account is first read when the live hosts have not changed
+# for this long.
+STABLE_FLEET_S = 1.0
+# Between attempts to recover an ended home's tokens; a witness may be out of reach.
+RECOVERY_RETRY_INTERVAL_S = 0.5
 
 RankHome = Callable[[str], HomeRank]
 
@@ -83,18 +87,20 @@
         self._draws: dict[str, asyncio.Task[None]] = {}
         self._paused_until: dict[str, float] = {}
         self._recover_at: dict[str, float] = {}
-        self._named_at: dict[str, float] = {}  # when requesters were written
-        server.register(HoldTokens, self._answer_hold)
-        server.register(SettleHolds, self._answer_settle)
+        self._named_at: dict[str, float] = {}  # time of the last roster
+        server.register(HoldTokens, self._handle_hold)
+        server.register(SettleHolds, self._handle_settle)
 
     async def on_start(self) -> None:
-        """Start to keep stocks."""
+        """Start the periodic check of the stocks."""
         self._unsubscribe = self._timer.subscribe(
-            name="escrow", interval_s=TICK_S, callback=self._tick
+            name="escrow",
+            interval_s=STOCK_CHECK_INTERVAL_S,
+            callback=self._check_stocks,
         )
 
     async def on_stop(self) -> None:
-        """Stop keeping stocks."""
+        """Stop the periodic check of the stocks."""
         self._unsubscribe()
 
     async def hold(
@@ -106,20 +112,20 @@
         *,
         repeat: bool = False,
     ) -> Reason | None:
-        """Hold tokens for a request; return why not, or None once they are held."""
+        """Hold tokens for a request; return None, or the reason if refused."""
         account = self._get_account(workspace)
         if account is None:
             return Reason.UNKNOWN_ACCOUNT
         now = self._timer.now()
         if not repeat:
-            account.demand.note(tokens, now)
+            account.demand.add(tokens, now)
         if account.hold(request, tokens, requester, now):
             return None
         if self._is_paused(workspace):
             return self._refuse(account, request, tokens)
-        if not account.can_cover(tokens) and not self._may_check(workspace):
+        if not account.can_cover(tokens) and not self._may_reread(workspace):
             return self._refuse(account, request, tokens)
-        self._recovery.note_requester(requester)
+        self._recovery.add_requester(requester)
         account.waiting += tokens
         try:
             await self._wait_for_draw(workspace)
@@ -137,31 +143,31 @@
                 account.settle(item.request, item.spent)
 
     async def return_all(self) -> None:
-        """Give back what this host does not need, as it leaves."""
+        """Return all unused tokens to the accounts, as this host shuts down."""
         for workspace, account in self._accounts.items():
             draw = self._draws.get(workspace)
             if draw is not None and not draw.done():
                 await draw
             if account.unused > 0 or account.locked > 0:
-                await self._change(workspace, make_return)
+                await self._change_stock(workspace, plan_full_return)
 
     def list_accounts(self) -> list[EscrowAccount]:
         """Return the accounts that this host has held tokens for."""
         return list(self._accounts.values())
 
     def has_locked(self) -> bool:
-        """Tell whether the store may say that tokens are locked here."""
+        """Return whether the store may have tokens of this host as locked."""
         return any(account.locked > 0 for account in self._accounts.values())
 
     def has_touched_lock(self) -> bool:
-        """Tell whether tokens are in use that the store may say are locked."""
-        return any(account.is_touched for account in self._accounts.values())
+        """Return whether tokens are in use that the store may have as locked."""
+        return any(account.has_used_locked for account in self._accounts.values())
 
-    def get_lock_wait(self) -> float:
-        """Return the seconds until locked tokens may be used, 0 if they may be."""
+    def get_lock_wait_s(self) -> float:
+        """Return the seconds until locked tokens may be used, 0 if they may be now."""
         return max(0.0, self._lock.until - self._timer.now())
 
-    async def _answer_hold(self, message: HoldTokens) -> HoldReply:
+    async def _handle_hold(self, message: HoldTokens) -> HoldReply:
         reason = await self.hold(
             message.workspace,
             message.request,
@@ -172,11 +178,11 @@
         return HoldReply(
             incarnation=self._board.incarnation,
             refused=reason,
-            lock_wait_s=self.get_lock_wait(),
+            lock_wait_s=self.get_lock_wait_s(),
         )
 
-    async def _answer_settle(self, message: SettleHolds) -> SettleReply:
-        # What an earlier incarnation held was counted as spent in full.
+    async def _handle_settle(self, message: SettleHolds) -> SettleReply:
+        # Holds of an earlier incarnation were counted as spent in full.
         if message.incarnation == self._board.incarnation:
             self.settle(message.holds)
         return SettleReply()
@@ -199,12 +205,12 @@
         return account
 
     def _refuse(self, account: EscrowAccount, request: str, tokens: int) -> Reason:
-        confirmed = not self._is_paused(account.workspace)
-        covered = account.can_cover(tokens)
+        is_confirmed = not self._is_paused(account.workspace)
+        can_cover = account.can_cover(tokens)
         reason = Reason.BUDGET_UNCONFIRMED
-        if confirmed and not covered:
-            spent = account.is_nearly_spent(tokens)
-            reason = Reason.BUDGET_EXHAUSTED if spent else Reason.BUDGET_DRAWN
+        if is_confirmed and not can_cover:
+            is_spent = account.is_nearly_spent(tokens)
+            reason = Reason.BUDGET_EXHAUSTED if is_spent else Reason.BUDGET_DRAWN
         log_event(
             Event.HOLD_REFUSED,
             request=request,
@@ -217,18 +223,18 @@
             drawn_by_all=account.record.drawn,
             spent_by_all=account.record.spent,
             prepaid=account.prepaid,
-            confirmed=confirmed,
+            confirmed=is_confirmed,
         )
         return reason
 
     def _is_paused(self, workspace: str) -> bool:
-        # Nothing can be drawn; who waited would be refused a second later.
+        # No draw can succeed; a waiting request would be refused a second later.
         if self._board.store.out_of_reach:
             return True
         return self._timer.now() < self._paused_until.get(workspace, 0.0)
 
-    def _may_check(self, workspace: str) -> bool:
-        return self._records.get_age(workspace) >= EXHAUSTED_CHECK_S
+    def _may_reread(self, workspace: str) -> bool:
+        return self._records.get_age_s(workspace) >= EXHAUSTED_REREAD_INTERVAL_S
 
     async def _wait_for_draw(self, workspace: str) -> None:
         draw = self._start_draw(workspace)
@@ -245,22 +251,22 @@
             self._draws[workspace] = draw
         return draw
 
-    def _wants_record(self, account: EscrowAccount, now: float, rank: HomeRank) -> bool:
+    def _needs_write(self, account: EscrowAccount, now: float, rank: HomeRank) -> bool:
         if account.plan_change(now, rank) is not None:
             return True
-        if rank is HomeRank.NONE or not self._may_name(account.workspace, now):
+        if rank is HomeRank.NONE or not self._may_update_roster(account.workspace, now):
             return False
-        return self._lacks_requester(account)
+        return self._has_unlisted_requester(account)
 
-    def _is_gathering(self, now: float) -> bool:
-        """Tell whether hosts of a large fleet are just coming or going."""
-        gathers = now - self._board.live_changed_at < SETTLE_S
-        return gathers and self._board.is_large()
+    def _is_fleet_changing(self, now: float) -> bool:
+        """Return whether the live hosts of a large fleet changed recently."""
+        has_changed_recently = now - self._board.live_changed_at < STABLE_FLEET_S
+        return has_changed_recently and self._board.is_large()
 
-    def _may_name(self, workspace: str, now: float) -> bool:
-        """Tell whether requesters that did not ask yet may be written."""
+    def _may_update_roster(self, workspace: str, now: float) -> bool:
+        """Return whether a roster may be written without a waiting request."""
         named_at = self._named_at.get(workspace, float("-inf"))
-        return not self._board.is_large() or now - named_at >= NAMING_PAUSE_S
+        return not self._board.is_large() or now - named_at >= ROSTER_UPDATE_INTERVAL_S
 
     def _start_recovery(self, workspace: str, now: float) -> None:
         draw = self._draws.get(workspace)
@@ -268,33 +274,33 @@
             return
         if now < self._recover_at.get(workspace, 0.0):
             return
-        self._recover_at[workspace] = now + RECOVERY_PAUSE_S
+        self._recover_at[workspace] = now + RECOVERY_RETRY_INTERVAL_S
         self._draws[workspace] = asyncio.create_task(self._recover(workspace))
 
     async def _draw(self, workspace: str) -> None:
         def plan(account: EscrowAccount) -> StockChange | None:
             return account.plan_change(self._timer.now(), self._rank_home(workspace))
 
-        await self._change(workspace, plan)
+        await self._change_stock(workspace, plan)
 
-    async def _change(
+    async def _change_stock(
         self, workspace: str, plan: Callable[[EscrowAccount], StockChange | None]
     ) -> None:
-        """Draw or give back, tried anew while other hosts write the partition."""
+        """Write a change of the stock, with retries on writes of other hosts."""
         account = self._accounts[workspace]
-        refresh = not self._records.is_known(workspace) or account.free == 0
+        refresh = not self._records.can_write(workspace) or account.free == 0
         try:
-            for _ in range(MAX_CONFLICTS):
+            for _ in range(MAX_WRITE_TRIES):
                 if refresh:
                     await self._records.refresh(workspace)
                 change = plan(account)
                 if change is None:
-                    if not self._must_write(account):
+                    if not self._must_update_roster(account):
                         return
                     change = StockChange(tokens=0, locked=account.locked)
                 self._close_lock(change)
-                served = self._recovery.list_requesters()
-                if await self._records.change(account, change, served):
+                requesters = self._recovery.list_requesters()
+                if await self._records.change(account, change, requesters):
                     self._named_at[workspace] = self._timer.now()
                     log_event(
                         Event.ESCROW_DRAWN,
@@ -307,39 +313,41 @@
                     return
                 refresh = True
         except StoreUnavailableError as error:
-            self._note_failure(workspace, error)
+            self._record_store_failure(workspace, error)
 
     def _close_lock(self, change: StockChange) -> None:
-        """Use no locked tokens before the keeper has written the first promise.
+        """Close the lock, so that locked tokens stay unused until the first promise.
 
-        It promises nothing once they are in use. A lock that is closed stays as it
-        is: put off by each try to draw, it would open later in an outage.
+        The lock keeper writes no promise once locked tokens are in use. A closed lock
+        is not extended: if each attempt to draw did, it would open late in an outage.
         """
         now = self._timer.now()
         is_open = self._lock.is_open(now)
         if change.locked > 0 and is_open and not self.has_touched_lock():
             self._lock.promise(now)
 
-    def _note_failure(self, workspace: str, error: StoreUnavailableError) -> None:
-        self._records.forget_end(workspace)
+    def _record_store_failure(
+        self, workspace: str, error: StoreUnavailableError
+    ) -> None:
+        self._records.forget_end_offset(workspace)
         now = self._timer.now()
-        self._paused_until[workspace] = now + FAILURE_PAUSE_S
+        self._paused_until[workspace] = now + FAILED_DRAW_PAUSE_S
         self._board.store.note_failure(now, str(error))
         log_event(Event.ESCROW_DRAW_FAILED, workspace=workspace, error=str(error))
 
-    def _must_write(self, account: EscrowAccount) -> bool:
+    def _must_update_roster(self, account: EscrowAccount) -> bool:
         rank = self._rank_home(account.workspace)
-        asked = account.waiting > 0 or rank is not HomeRank.NONE
-        return asked and self._lacks_requester(account)
+        may_grant = account.waiting > 0 or rank is not HomeRank.NONE
+        return may_grant and self._has_unlisted_requester(account)
 
-    def _lacks_requester(self, account: EscrowAccount) -> bool:
-        """Tell whether a host that may ask is not named in the record yet.
+    def _has_unlisted_requester(self, account: EscrowAccount) -> bool:
+        """Return whether a live host is missing from the account's stored roster.
 
-        Named only once it asks, a host that came up before an outage would get
-        nothing from the stock until the store is back.
+        If hosts were listed only on their first request, a host that started before
+        an outage would get no tokens until the store is back.
         """
         return not all(
-            account.serves(requester)
+            account.is_listed(requester)
             for requester in self._recovery.list_requesters().values()
         )
 
@@ -347,32 +355,32 @@
         try:
             await self._reclaimer.reclaim(self._accounts[workspace])
         except StoreUnavailableError as error:
-            self._note_failure(workspace, error)
+            self._record_store_failure(workspace, error)
 
-    async def _tick(self) -> None:
+    async def _check_stocks(self) -> None:
         configuration = self._board.configuration
         if configuration is None or self._board.store.out_of_reach:
             return
         now = self._timer.now()
         for workspace in configuration.workspaces:
             rank = self._rank_home(workspace)
-            home = rank is not HomeRank.NONE
-            account = self._get_account(workspace) if home else None
-            # A stock that this host is no longer the home for is given back.
+            is_home = rank is not HomeRank.NONE
+            account = self._get_account(workspace) if is_home else None
+            # Stock is returned when this host is no longer the home.
             account = account or self._accounts.get(workspace)
             if account is None or self._is_paused(workspace):
                 continue
-            if account.record_offset < 0 and not self._may_check(workspace):
+            if account.record_offset < 0 and not self._may_reread(workspace):
                 continue
-            unread = account.record_offset < 0
-            if unread and self._is_gathering(now):
+            is_unread = account.record_offset < 0
+            if is_unread and self._is_fleet_changing(now):
                 continue
             if rank is HomeRank.FIRST and self._reclaimer.has_ended_holder(account):
                 self._start_recovery(workspace, now)
-            elif unread or self._wants_record(account, now, rank):
+            elif is_unread or self._needs_write(account, now, rank):
                 self._start_draw(workspace)
 
 
-def make_return(account: EscrowAccount) -> StockChange:
-    """Return the change that gives all unused tokens back."""
+def plan_full_return(account: EscrowAccount) -> StockChange:
+    """Return the change that returns all unused tokens."""
     return StockChange(tokens=-max(0, account.unused), locked=0)
--- a/trefoilstage/components/escrow/lock_keeper.py
+++ b/trefoilstage/components/escrow/lock_keeper.py
@@ -1,4 +1,4 @@
-"""Keep this host's promise not to touch its locked tokens in the store."""
+"""Keep this host's promise not to use its locked tokens current in the store."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,10 +7,10 @@
 
 from trefoilstage.components.escrow.lock import (
     LOCK_CODEC,
-    RENEW_S,
+    RENEW_INTERVAL_S,
     LockRecord,
     ReserveLock,
-    find_untouched,
+    list_proven_untouched,
 )
 from trefoilstage.components.views.store import Store, StoreUnavailableError, Topic
 from trefoilstage.exceptions import MalformedMessageError
@@ -19,7 +19,7 @@
 from trefoilstage.timer import TimerService
 from trefoilstage.util.process_start import ProcessStart
 
-READ_RETRY_S = 0.2
+READ_RETRY_INTERVAL_S = 0.2
 
 
 class LockKeeper(Service):
@@ -41,94 +41,94 @@
         self._store = store
         self._timer = timer
         self._lock = lock
-        self._start_of_process = start
+        self._process_start = start
         self._has_locked = has_locked
         self._has_touched = has_touched
-        self._passed_on = False  # the proofs about predecessors
+        self._passed_on = False  # whether the proofs about predecessors are stored
         self._failed_at = float("-inf")
         self._renewing = False
 
     async def on_start(self) -> None:
-        """Start to read and to renew."""
+        """Start to read the predecessor's promise and to renew the own one."""
         self.add_future(self.read_predecessor())
         self._unsubscribe = self._timer.subscribe(
-            name="reserve lock", interval_s=RENEW_S, callback=self.renew
+            name="reserve lock", interval_s=RENEW_INTERVAL_S, callback=self.renew
         )
 
     async def on_stop(self) -> None:
-        """Stop renewing."""
+        """Stop renewing the promise."""
         self._unsubscribe()
 
     async def read_predecessor(self) -> None:
-        """Learn from the store what earlier processes of this host never touched."""
+        """Read which earlier incarnations of this host used no locked tokens."""
         while self._board.untouched is None:
             try:
-                record = await self._find_record()
+                record = await self._read_own_record()
             except StoreUnavailableError:
                 # The followers log that the store is out of reach.
-                await asyncio.sleep(READ_RETRY_S)
+                await asyncio.sleep(READ_RETRY_INTERVAL_S)
                 continue
-            proven = find_untouched(record, self._start_of_process)
+            proven = list_proven_untouched(record, self._process_start)
             self._board.untouched = proven
             log_event(
                 Event.LOCK_READ,
                 predecessor=record.incarnation if record else "",
                 until=record.until if record else 0.0,
-                started=self._start_of_process.at,
+                started=self._process_start.at,
                 untouched=",".join(proven),
             )
             await self.renew()
 
-    async def _find_record(self) -> LockRecord | None:
+    async def _read_own_record(self) -> LockRecord | None:
         listing = await self._store.list_newest(Topic.LOCKS)
         for record in listing.records:
             if record.key == self._board.host and record.value is not None:
                 try:
                     return LOCK_CODEC.decode(record.value)
                 except MalformedMessageError as error:
-                    # No proof then: what was locked counts as used.
+                    # Without a proof, the locked tokens count as used.
                     log_event(
                         Event.RECORD_MALFORMED, topic=Topic.LOCKS, error=str(error)
                     )
         return None
 
     async def renew(self) -> None:
-        """Put the moment off at which locked tokens may be used, while all is well."""
+        """Extend the promise if it is needed and the store responds."""
         if self._renewing or self._board.untouched is None:
             return
-        if not self._has_reason() or not self._may_promise():
+        if not self._needs_promise() or not self._may_promise():
             return
         self._renewing = True
         try:
-            await self._write()
+            await self._write_promise()
         finally:
             self._renewing = False
 
-    def _has_reason(self) -> bool:
-        """Tell whether a promise is of use to anybody.
+    def _needs_promise(self) -> bool:
+        """Return whether this host has locked tokens or a proof to pass on.
 
-        In a large fleet most hosts are the home of no account, and their promises
-        would be calls to the store in vain.
+        In a large fleet most hosts are not the home of any account, and their
+        promises would be useless calls to the store.
         """
         return self._has_locked() or bool(self._board.untouched and not self._passed_on)
 
     def _may_promise(self) -> bool:
-        """Tell whether the store answers and no locked tokens are in use.
+        """Return whether the store responds and no locked tokens are in use.
 
-        A new promise after a failed one would keep the lock closed throughout an
-        outage, which is when the tokens are needed.
+        Promises written after a failed one would keep the lock closed throughout an
+        outage, when the tokens are needed.
         """
         store = self._board.store
         if store.out_of_reach or store.last_answer <= self._failed_at:
             return False
         return not self._has_touched()
 
-    async def _write(self) -> None:
+    async def _write_promise(self) -> None:
         record = LockRecord(
             incarnation=self._board.incarnation,
-            boot=self._start_of_process.boot,
+            boot=self._process_start.boot,
             until=self._lock.promise(self._timer.now()),
-            offset=self._start_of_process.offset,
+            offset=self._process_start.offset,
             untouched=self._board.untouched or (),
         )
         try:
--- a/trefoilstage/components/escrow/messages.py
+++ b/trefoilstage/components/escrow/messages.py
@@ -1,4 +1,4 @@
-"""Define the messages about holds on prepaid budgets."""
+"""Define the peer messages about holds on prepaid budgets."""
 
 from dataclasses import dataclass
 from typing import Literal
@@ -14,14 +14,14 @@
     workspace: Name
     request: Name
     tokens: Tokens
-    requester: Name  # the incarnation that asks
-    repeat: bool = False  # asked again for the same caller's request
+    requester: Name  # the requesting incarnation
+    repeat: bool = False  # a further attempt for the same caller's request
     kind: Literal["hold_tokens"] = "hold_tokens"
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HoldReply:
-    """Answer a hold: who holds the tokens, or why nobody does."""
+    """Reply to a hold with the incarnation that holds the tokens, or a refusal."""
 
     incarnation: Name
     refused: Reason | None = None
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SettledHold:
-    """Tell what a request spent of its hold."""
+    """Describe what a request spent of its hold."""
 
     workspace: Name
     request: Name
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SettleHolds:
-    """Tell the incarnation that holds tokens what was spent of them."""
+    """Report to the incarnation that holds tokens what was spent of them."""
 
     incarnation: Name
     holds: tuple[SettledHold, ...]
@@ -49,14 +49,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SettleReply:
-    """Confirm that the settled holds were taken."""
+    """Confirm that the settlements were received."""
 
     kind: Literal["settle_reply"] = "settle_reply"
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SealHome:
-    """Ask a host to take no grant of an ended incarnation any more."""
+    """Ask a host to refuse all later grants of an ended incarnation."""
 
     incarnation: Name
     kind: Literal["seal_home"] = "seal_home"
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SealReply:
-    """Answer with what this host used of the incarnation's grants, by workspace."""
+    """Reply with what this host used of the incarnation's grants, by workspace."""
 
     incarnation: Name
     used: dict[Name, Tokens]
--- a/trefoilstage/components/escrow/ranking.py
+++ b/trefoilstage/components/escrow/ranking.py
@@ -1,7 +1,8 @@
 """Rank the hosts that may hold a workspace's tokens; pure.
 
-The home is the first by rendezvous hash over the live hosts, so that all hosts agree on
-it without asking, and a host that comes or goes moves few workspaces.
+The home of a workspace is the host that draws its tokens and grants them to requests.
+It is the first live host by rendezvous hash. All hosts compute the same home without
+messages, and a host that joins or leaves moves few workspaces.
 """
 
 import itertools
@@ -12,19 +13,19 @@
 from trefoilstage.phase import Phase
 from trefoilstage.util.hashing import rank_names
 
-N_STAND_INS = 2
-HOME_RANKS = (HomeRank.FIRST, HomeRank.SECOND)  # of the first hosts by rendezvous
+N_FALLBACK_HOMES = 2
+HOME_RANKS = (HomeRank.FIRST, HomeRank.SECOND)  # of the first hosts by rendezvous hash
 
 
 class HomeRanking:
-    """Rank the live hosts for a workspace."""
+    """Rank the live hosts for a workspace by rendezvous hash."""
 
     def __init__(self, *, board: FleetBoard, membership: FleetMembership) -> None:
         self._board = board
         self._membership = membership
 
     def rank_here(self, workspace: str) -> HomeRank:
-        """Return what this host is to a workspace, as far as it knows."""
+        """Return this host's rank for a workspace, by the hosts it knows to be live."""
         if self._board.phase is not Phase.SERVING:
             return HomeRank.NONE
         first = rank_names(workspace, self._membership.list_live())[: len(HOME_RANKS)]
@@ -32,17 +33,18 @@
             return HomeRank.NONE
         return HOME_RANKS[first.index(self._board.host)]
 
-    def list_homes(self, workspace: str) -> list[str]:
-        """Return the home, then hosts that can draw in its place.
+    def list_homes_to_ask(self, workspace: str) -> list[str]:
+        """Return the hosts to ask for a grant: the home, then its fallbacks.
 
-        A home that is cut from the store spends its stock and then refuses at once.
-        The next hosts by rank may be cut as well, so those that say they reach the
-        store are asked. When nobody reaches it, the next by rank are.
+        A home that cannot reach the store uses up its stock and then refuses
+        immediately. The next hosts by rank may be cut off too, so the fallbacks are
+        hosts that report that they reach the store. If no host does, the next hosts
+        by rank are used.
         """
         ranked = rank_names(workspace, self._membership.list_live())
         others = [host for host in ranked if host != self._board.host]
         if not others:
             return [self._board.host]
-        able = filter(self._board.reaches_store, others[1:])
-        stand_ins = list(itertools.islice(able, N_STAND_INS))
-        return others[:1] + (stand_ins or others[1 : 1 + N_STAND_INS])
+        connected = filter(self._board.reaches_store, others[1:])
+        fallbacks = list(itertools.islice(connected, N_FALLBACK_HOMES))
+        return others[:1] + (fallbacks or others[1 : 1 + N_FALLBACK_HOMES])
--- a/trefoilstage/components/escrow/reclaim.py
+++ b/trefoilstage/components/escrow/reclaim.py
@@ -1,58 +1,65 @@
-"""Make free again what ended homes had drawn and not granted."""
+"""Free the tokens that ended homes had drawn and not granted."""
 
 from trefoilstage.components.escrow.account import EscrowAccount
 from trefoilstage.components.escrow.account_store import AccountStore
-from trefoilstage.components.escrow.record import Holder, Used
+from trefoilstage.components.escrow.record import Holder, HolderUsage
 from trefoilstage.components.escrow.recovery import EscrowRecovery
 from trefoilstage.helpers.events import Event, log_event
 
 
 class Reclaimer:
-    """Retire ended homes from accounts' records, as their witnesses tell."""
+    """Remove ended homes from account records, by the reports of their witnesses."""
 
     def __init__(self, *, records: AccountStore, recovery: EscrowRecovery) -> None:
         self._records = records
         self._recovery = recovery
 
     def has_ended_holder(self, account: EscrowAccount) -> bool:
-        """Tell whether an account's record names a home that has ended."""
+        """Return whether an account's record names a home that has ended."""
         return any(
             self._recovery.has_ended(holder.host, incarnation)
             for incarnation, holder in account.record.holders.items()
         )
 
     async def reclaim(self, account: EscrowAccount) -> None:
-        """Retire one ended home whose use is known, or raise StoreUnavailableError."""
+        """Retire one ended home whose usage is known.
+
+        Raise StoreUnavailableError if the store does not respond.
+        """
         await self._records.refresh(account.workspace)
         for incarnation, holder in account.record.holders.items():
             if not self._recovery.has_ended(holder.host, incarnation):
                 continue
-            served = await self._records.find_served(holder)
-            if served is None:
+            roster = await self._records.read_roster(holder)
+            if roster is None:
                 continue
-            verdict = await self._recovery.find_used(
-                account.workspace, incarnation, holder, served
+            usage = await self._recovery.find_usage(
+                account.workspace, incarnation, holder, roster
             )
-            # Meanwhile another home may have done it, or a late write landed.
-            same = account.record.holders.get(incarnation) == holder
-            if isinstance(verdict, Used) and same:
-                await self._retire(account, incarnation, holder, verdict)
+            # Another home may have retired it, or a delayed write was stored.
+            is_unchanged = account.record.holders.get(incarnation) == holder
+            if isinstance(usage, HolderUsage) and is_unchanged:
+                await self._retire(account, incarnation, holder, usage)
                 return
 
     async def _retire(
-        self, account: EscrowAccount, incarnation: str, holder: Holder, used: Used
+        self,
+        account: EscrowAccount,
+        incarnation: str,
+        holder: Holder,
+        usage: HolderUsage,
     ) -> None:
-        if not self._records.is_known(account.workspace):
+        if not self._records.can_write(account.workspace):
             return
-        record = account.record.retire(incarnation, used)
+        record = account.record.retire(incarnation, usage)
         if await self._records.put(account, record):
             log_event(
                 Event.ESCROW_RECOVERED,
                 workspace=account.workspace,
                 holder=incarnation,
                 drawn=holder.drawn,
-                used=used.tokens,
+                used=usage.tokens,
                 reported_spent=holder.spent,
                 locked=holder.locked,
-                witnessed=used.witnessed,
+                witnessed=usage.witnessed,
             )
--- a/trefoilstage/components/escrow/record.py
+++ b/trefoilstage/components/escrow/record.py
@@ -1,4 +1,8 @@
-"""Define an account's record in the store; pure."""
+"""Define an account's record in the store; pure.
+
+The record counts what each incarnation of a host, a holder, has drawn of a workspace's
+prepaid tokens. An ended holder is retired: its usage goes into the retired totals.
+"""
 
 from dataclasses import dataclass, field, replace
 
@@ -9,22 +13,22 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Holder:
-    """Hold what one incarnation of a host drew and to whom it may grant of it."""
+    """Describe what one incarnation drew and which hosts may get grants of it."""
 
     host: Name
     drawn: Tokens
     spent: Tokens
-    # The part of what it drew that it doesn't use while its host's lock is closed.
+    # The part of `drawn` that is not used while the host's lock is closed.
     locked: Tokens = 0
-    # Names the list of incarnations that may have got grants; they are its witnesses.
+    # The name of the list of incarnations that may have got grants, its witnesses.
     roster: Name = ""
-    # What was granted to incarnations that are served no more.
+    # What incarnations used that are no longer on the roster.
     used_by_former: Tokens = 0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AccountRecord:
-    """Hold all draws on a workspace's prepaid tokens, by incarnation."""
+    """Represent all draws on a workspace's prepaid tokens, by incarnation."""
 
     holders: dict[Name, Holder] = field(default_factory=dict)
     retired_drawn: Tokens = 0
@@ -41,32 +45,32 @@
         return self.retired_spent + sum(item.spent for item in self.holders.values())
 
     def set_holder(self, incarnation: str, holder: Holder) -> "AccountRecord":
-        """Return the record with what an incarnation has drawn in all."""
+        """Return the record with an incarnation's totals replaced."""
         return replace(self, holders={**self.holders, incarnation: holder})
 
-    def retire(self, incarnation: str, used: "Used") -> "AccountRecord":
+    def retire(self, incarnation: str, usage: "HolderUsage") -> "AccountRecord":
         """Return the record without an ended incarnation.
 
-        What it used at most counts as drawn for good, also where only part of it was
-        really spent, for requests that it granted may have used all of it up.
+        The most that it may have used counts as drawn permanently, even if less was
+        spent, because the requests that it granted to may have used all of it.
         """
         holders = dict(self.holders)
         holder = holders.pop(incarnation)
-        drawn = min(used.tokens, holder.drawn)
+        drawn = min(usage.tokens, holder.drawn)
         return replace(
             self,
             holders=holders,
             retired_drawn=self.retired_drawn + drawn,
             retired_spent=self.retired_spent
-            + (drawn if used.witnessed else min(holder.spent, drawn)),
+            + (drawn if usage.witnessed else min(holder.spent, drawn)),
         )
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Used:
-    """Tell what an ended home's grants used at most.
+class HolderUsage:
+    """Describe the most tokens that an ended home's grants may have used.
 
-    Without witnesses that is all it drew, but for what it proved not to have touched.
+    Without witnesses, that is all it drew except the tokens proven to be unused.
     """
 
     tokens: int
--- a/trefoilstage/components/escrow/returns.py
+++ b/trefoilstage/components/escrow/returns.py
@@ -1,41 +1,44 @@
-"""Decide when a caller whose hold was refused is told to come back; pure."""
+"""Decide when a caller whose hold was refused is told to retry; pure."""
 
 import random
 
 from trefoilstage.components.escrow.patience import Patience
 from trefoilstage.helpers.verdict import Reason, Refusal
 
-# Nothing is left to draw. Only a higher balance or the return of another host's
-# tokens helps, which takes longer than any caller waits: coming back would be in vain.
-SPENT_RETRY_AFTER_S = 30.0
-# The store's outages last 7 to 9 s. Told to come back after 3 s, most callers came
-# before its end and were refused a second time; each comes once only.
-OUTAGE_S = 8.5
+# No tokens are left to draw. Only a higher balance or tokens returned by another host
+# help, which takes longer than any caller waits, so that an earlier retry would fail.
+BUDGET_DRAWN_RETRY_AFTER_S = 30.0
+# Outages of the store last 7 to 9 s. When told to retry after 3 s, most callers retried
+# before the end of the outage and were refused again; each caller retries only once.
+EXPECTED_OUTAGE_S = 8.5
 MIN_RETRY_AFTER_S = 1.0
-# Callers that were refused at any time of an outage would come back in one moment, and
-# then wait for each other: within a second, the median of first tokens rose to 1.4 s.
-SPREAD_S = 3.0
+# Without jitter, all callers refused during an outage would retry at the same time and
+# queue: within a second, the median time to the first token rose to 1.4 s.
+MAX_RETRY_JITTER_S = 3.0
 
 
-def estimate_return(silent_s: float) -> float:
-    """Return the seconds until tokens can probably be drawn, after a silence."""
+def estimate_store_return(silent_s: float) -> float:
+    """Return the seconds until the store is expected back.
+
+    `silent_s` is the time since it last responded, 0 if it is in reach.
+    """
     if silent_s == 0.0:
         return MIN_RETRY_AFTER_S
-    return max(MIN_RETRY_AFTER_S, OUTAGE_S - silent_s)
+    return max(MIN_RETRY_AFTER_S, EXPECTED_OUTAGE_S - silent_s)
 
 
-def spread_return(
-    return_s: float, patience: Patience, now: float, generator: random.Random
+def add_retry_jitter(
+    retry_after_s: float, patience: Patience, now: float, generator: random.Random
 ) -> float:
-    """Return when one of many callers comes back, while it still can."""
-    room_s = max(0.0, patience.get_comeback(now) - return_s)
-    return return_s + generator.uniform(0.0, min(SPREAD_S, room_s))
+    """Add random jitter to a retry time, as far as the caller still retries."""
+    max_jitter_s = max(0.0, patience.get_max_retry_s(now) - retry_after_s)
+    return retry_after_s + generator.uniform(0.0, min(MAX_RETRY_JITTER_S, max_jitter_s))
 
 
 def make_refusal(reason: Reason, retry_after_s: float) -> Refusal:
-    """Return the refusal of a hold, with the time to come back."""
+    """Return the refusal of a hold; an exhausted budget has no time to retry."""
     if reason is Reason.BUDGET_EXHAUSTED:
         return Refusal(reason=reason)
     if reason is Reason.BUDGET_DRAWN:
-        return Refusal(reason=reason, retry_after_s=SPENT_RETRY_AFTER_S)
+        return Refusal(reason=reason, retry_after_s=BUDGET_DRAWN_RETRY_AFTER_S)
     return Refusal(reason=reason, retry_after_s=retry_after_s)
--- a/trefoilstage/components/escrow/rosters.py
+++ b/trefoilstage/components/escrow/rosters.py
@@ -1,8 +1,8 @@
-"""Keep lists of the hosts that get grants in the store, each under its digest.
+"""Store rosters, the lists of incarnations that may get grants, by their digest.
 
-Such a list grows with the fleet. Written into each account's record, and read with all
-records of a partition at each conflict, it makes draws slow. With all lists in one
-partition, a host that recovers an account would read those that all homes ever wrote.
+A roster grows with the fleet. In each account's record, where it would be read with all
+records of a partition at each conflict, it would make draws slow. With all rosters in
+one partition, a host that recovers an account would read all rosters ever written.
 """
 
 from collections import OrderedDict
@@ -19,15 +19,15 @@
 from trefoilstage.helpers.fields import Name
 from trefoilstage.util.hashing import pick_stream
 
-# Lists kept in memory; others are read or written again.
-MAX_KNOWN = 64
-# Where earlier versions wrote all lists.
-FORMER_PARTITION = 0
+# Rosters kept in memory; others are read or written again.
+MAX_CACHED_ROSTERS = 64
+# Earlier versions wrote all rosters to this partition.
+LEGACY_PARTITION = 0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Roster:
-    """Hold incarnations that may get grants, by host."""
+    """List the incarnations that may get grants, by host."""
 
     members: dict[Name, Name]
 
@@ -36,8 +36,8 @@
 NO_MEMBERS: Mapping[str, str] = {}
 
 
-def name_roster(members: Mapping[str, str]) -> str:
-    """Return the digest of a list, empty for an empty one."""
+def get_roster_name(members: Mapping[str, str]) -> str:
+    """Return the digest of a roster's members, empty if there are none."""
     if not members:
         return ""
     text = "|".join(f"{host}={name}" for host, name in sorted(members.items()))
@@ -45,35 +45,35 @@
 
 
 class RosterStore:
-    """Write each list once, before a record names it, and read those of others."""
+    """Write each roster before a record names it, and read rosters of any host."""
 
     def __init__(self, *, store: Store, n_partitions: int) -> None:
         self._store = store
         self._n_partitions = n_partitions
         self._written: OrderedDict[str, None] = OrderedDict()
-        self._known: OrderedDict[str, Mapping[str, str]] = OrderedDict()
+        self._cached: OrderedDict[str, Mapping[str, str]] = OrderedDict()
 
     def get(self, name: str) -> Mapping[str, str] | None:
-        """Return a list, None if it was not read yet."""
-        return self._known.get(name) if name else NO_MEMBERS
+        """Return a cached roster, None if it is not cached."""
+        return self._cached.get(name) if name else NO_MEMBERS
 
     async def write(self, members: Mapping[str, str]) -> str:
-        """Return the name of a list that the store holds."""
-        name = name_roster(members)
+        """Store a roster if needed and return its name."""
+        name = get_roster_name(members)
         if name and name not in self._written:
-            # Any host writes the same under this name, so it may land twice.
+            # All hosts write the same value under this name, so it may be stored twice.
             value = ROSTER_CODEC.encode(Roster(members=dict(members)))
             partition = pick_stream(name, self._n_partitions)
             await self._store.put(Topic.ROSTERS, name, value, partition=partition)
             self._written[name] = None
-            self._keep(name, dict(members))
-            if len(self._written) > MAX_KNOWN:
+            self._cache(name, dict(members))
+            if len(self._written) > MAX_CACHED_ROSTERS:
                 self._written.popitem(last=False)
         return name
 
     async def read(self, name: str) -> Mapping[str, str] | None:
-        """Return a list that any host wrote, None if it can't be found."""
-        for partition in (pick_stream(name, self._n_partitions), FORMER_PARTITION):
+        """Return a roster that any host wrote, None if it is missing."""
+        for partition in (pick_stream(name, self._n_partitions), LEGACY_PARTITION):
             if self.get(name) is None:
                 await self._read_partition(partition, name)
         return self.get(name)
@@ -84,12 +84,12 @@
             if record.key != name or record.value is None:
                 continue
             try:
-                self._keep(name, ROSTER_CODEC.decode(record.value).members)
+                self._cache(name, ROSTER_CODEC.decode(record.value).members)
             except MalformedMessageError as error:
-                # A home of whom it tells can't be recovered then.
+                # Homes whose records name this roster cannot be recovered.
                 log_event(Event.RECORD_MALFORMED, topic=Topic.ROSTERS, error=str(error))
 
-    def _keep(self, name: str, members: Mapping[str, str]) -> None:
-        self._known[name] = members
-        if len(self._known) > MAX_KNOWN:
-            self._known.popitem(last=False)
+    def _cache(self, name: str, members: Mapping[str, str]) -> None:
+        self._cached[name] = members
+        if len(self._cached) > MAX_CACHED_ROSTERS:
+            self._cached.popitem(last=False)
