--- a/tests/components/escrow/common.py
+++ b/tests/components/escrow/common.py
@@ -1,4 +1,4 @@
-"""Build homes of accounts over a stand-in of the store, with a clock by hand."""
+"""Run escrow homes on an in-memory store, with a clock that the test sets."""
 
 import random
 from dataclasses import dataclass, field
@@ -27,7 +27,7 @@
 
 
 class ManualTimer(TimerService):
-    """Tell a time that the test sets."""
+    """Return a time that the test sets."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -49,7 +49,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class Grant:
-    """Hold a grant that is on its way from a home, or that a request runs on."""
+    """Describe a grant that is in flight from a home or used by a running request."""
 
     home: str
     incarnation: str
@@ -61,7 +61,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class EscrowCluster:
-    """Hold hosts that share a store, and what was really spent."""
+    """Run hosts that share a store, and count the tokens that were really spent."""
 
     prepaid: int
     store: KeyedStore = field(default_factory=KeyedStore)
@@ -75,13 +75,15 @@
     unreachable: set[str] = field(default_factory=set)
     home: str = ""
     n_starts: int = 0
-    confirmed: list[str] = field(default_factory=list)  # hosts asked how they stand
+    confirmed: list[str] = field(
+        default_factory=list
+    )  # hosts asked for their incarnation
     spent: dict[str, int] = field(default_factory=dict)
     in_flight: list[Grant] = field(default_factory=list)
     running: dict[str, Grant] = field(default_factory=dict)
 
     def start(self, host: str) -> EscrowHome:
-        """Start a new incarnation of a host; what an earlier one knew is lost."""
+        """Start a new incarnation of a host, without the memory of the previous one."""
         self.n_starts += 1
         board = FleetBoard(
             host=host,
@@ -124,7 +126,7 @@
         self.boards[host] = board
         self.books[host] = book
         self.recoveries[host] = recovery
-        # Its requests have ended with it, and grants on their way to it are lost.
+        # The host's running requests have ended, and grants in flight to it are lost.
         self.running = {
             name: item for name, item in self.running.items() if item.requester != host
         }
@@ -134,7 +136,7 @@
         return home
 
     def update_peer(self, host: str, other: str) -> None:
-        """Let a host hear of another's current incarnation."""
+        """Give a host a current heartbeat of another host."""
         if host != other:
             self.boards[host].peers[other] = PeerState(
                 host=other,
@@ -148,31 +150,31 @@
             )
 
     def update_all_peers(self) -> None:
-        """Let every host hear of every other."""
+        """Give every host a current heartbeat of every other host."""
         for host in self.boards:
             for other in self.boards:
                 self.update_peer(host, other)
 
     async def run_lock_keeper(self, host: str) -> None:
-        """Let a host read its predecessor's promise, then renew its own."""
+        """Let a host read its predecessor's promise, or later renew its own."""
         keeper = self.keepers[host]
         if self.boards[host].untouched is None:
             if self.store.down or self.store.refuse_share:
                 return
             await keeper.read_predecessor()
         else:
-            # Its followers would have noticed whether the store answers.
+            # The host's followers would have recorded the store's reply.
             if not self.store.down:
                 self.boards[host].store.last_answer = self.timer.time
             await keeper.renew()
 
     async def recover(self, host: str, workspace: str) -> None:
-        """Let a host that knows an account look for ended homes."""
+        """Let a host that has the account recover one ended home."""
         if workspace in self.homes[host]._accounts:
             await self.homes[host]._recover(workspace)
 
     def count_unavailable(self, workspace: str) -> int:
-        """Return what the store counts as drawn and no live host may still grant."""
+        """Return the drawn tokens in the store, less those homes may still grant."""
         found = self.store.partitions[Topic.ACCOUNTS, 0].list_newest()
         values = {record.key: record.value for record in found}
         record = ACCOUNT_CODEC.decode(values[workspace] or b"")
@@ -185,7 +187,7 @@
         return record.drawn - sum(max(0, account.unused) for account in accounts)
 
     async def ask_seal(self, host: str, message: SealHome) -> SealReply | None:
-        """Carry a seal to a host, unless it is out of reach."""
+        """Seal a home at a host; return None if the host is unreachable."""
         if host in self.unreachable:
             return None
         return self.recoveries[host].seal(message)
@@ -193,7 +195,7 @@
     async def request_grant(
         self, home: str, requester: str, workspace: str, request: str, tokens: int
     ) -> Reason | None:
-        """Let a host ask a home for a hold; the grant is then on its way."""
+        """Request a hold from a home; its grant is then in flight."""
         incarnation = self.boards[requester].incarnation
         refused = await self.homes[home].hold(workspace, request, tokens, incarnation)
         if refused is None:
@@ -209,7 +211,7 @@
         return refused
 
     def deliver(self, grant: Grant) -> bool:
-        """Let a grant arrive; its request runs and may spend it in full."""
+        """Deliver a grant; its request runs and counts as spending it in full."""
         self.in_flight.remove(grant)
         book = self.books[grant.requester]
         if not book.accept(grant.incarnation, grant.workspace, grant.tokens):
@@ -222,7 +224,7 @@
     async def hold(
         self, home: str, requester: str, workspace: str, request: str, tokens: int
     ) -> bool:
-        """Hold tokens for a request that then runs."""
+        """Request a hold and deliver its grant; return whether the request runs."""
         if (
             await self.request_grant(home, requester, workspace, request, tokens)
             is not None
@@ -231,7 +233,7 @@
         return self.deliver(self.in_flight[-1])
 
     def settle(self, request: str, spent: int) -> None:
-        """End a request that spent less than it held."""
+        """End a running request and settle its hold with what it spent."""
         grant = self.running.pop(request)
         self.spent[grant.workspace] -= grant.tokens - spent
         book = self.books[grant.requester]
@@ -242,7 +244,7 @@
 
 
 def pick_faults(store: KeyedStore, generator: random.Random) -> None:
-    """Set the store's faults anew."""
+    """Set new random faults of the store."""
     store.down = generator.random() < 0.2
     store.refuse_share = generator.choice([0.0, 0.0, 0.3])
     store.lose_share = generator.choice([0.0, 0.0, 0.4])
--- a/tests/components/escrow/test_client.py
+++ b/tests/components/escrow/test_client.py
@@ -1,4 +1,4 @@
-"""Test when callers are told to come back."""
+"""Test when refused callers are told to retry."""
 
 import unittest
 
@@ -11,16 +11,16 @@
 
 
 class RetryAfterTest(unittest.TestCase):
-    """Test the time to come back in and after an outage."""
+    """Test the time to retry in and after an outage."""
 
     def test_retry_time_is_the_expected_end_of_the_outage(self) -> None:
-        """Refuse callers at 2 and at 7 s of an outage, and after 20 s of it."""
+        """Refuse callers 2, 7 and 20 s after the start of an outage."""
         self.assertAlmostEqual(estimate_store_return(2.0), 6.5)
         self.assertAlmostEqual(estimate_store_return(7.0), 1.5)
         self.assertAlmostEqual(estimate_store_return(20.0), 1.0)
 
     def test_one_failed_call_is_no_outage(self) -> None:
-        """Miss one call; the store is silent only once it is out of reach."""
+        """Let one call fail; the outage starts only when the store is out of reach."""
         reach = StoreReach()
         reach.note_answer(10.0)
         reach.note_failure(10.2, "error")
@@ -29,7 +29,7 @@
         self.assertAlmostEqual(reach.get_silence(11.0), 1.0)
 
     def test_exhausted_budget_has_no_retry_time(self) -> None:
-        """Refuse for a spent balance; coming back does not help."""
+        """Refuse for an exhausted budget, where a retry would fail as well."""
         self.assertIsNone(make_refusal(Reason.BUDGET_EXHAUSTED, 1.0).retry_after_s)
         self.assertEqual(
             make_refusal(Reason.BUDGET_UNCONFIRMED, 2.5).retry_after_s, 2.5
--- a/tests/components/escrow/test_failed_homes.py
+++ b/tests/components/escrow/test_failed_homes.py
@@ -1,4 +1,4 @@
-"""Test which homes a host asks after a hold that nobody answered."""
+"""Test when a host marks a home as failed after a hold without a reply."""
 
 import random
 import unittest
@@ -15,10 +15,10 @@
 
 
 class FailedHomeTest(unittest.IsolatedAsyncioTestCase):
-    """Test a host whose home for a workspace leaves a hold unanswered."""
+    """Test a host whose request for a hold gets no reply from the home."""
 
     async def request_hold(self, round_trip_s: float) -> FleetBoard:
-        """Return the board after one request, with calls that take some time."""
+        """Return the board after one request, over a link of a given round trip."""
         board = make_board("host-0", [f"host-{number}" for number in range(5)])
         board.configuration = make_configuration(1_000)
         for _ in range(N_CALLS):
@@ -48,10 +48,10 @@
         self.assertTrue(board.peers["host-1"].failed)
 
     async def test_home_is_not_marked_failed_when_the_own_link_is_full(self) -> None:
-        """Ask over a link on which each call takes 0.7 s.
+        """Request a hold over a link on which each call takes 0.7 s.
 
-        Two hosts of 90 took one home after the other for lost, 2,600 times in 12 s, and
-        refused their callers for want of tokens that lay ready.
+        Two hosts of 90 marked one home after the other as failed, 2,600 times in 12 s,
+        and refused their callers although the homes had tokens ready.
         """
         board = await self.request_hold(0.7)
         self.assertFalse(board.peers["host-1"].failed)
--- a/tests/components/escrow/test_home.py
+++ b/tests/components/escrow/test_home.py
@@ -1,4 +1,4 @@
-"""Test that prepaid tokens are never spent twice, and seldom kept from callers."""
+"""Test that prepaid tokens are never spent twice and rarely withheld from callers."""
 
 import random
 import unittest
@@ -14,19 +14,19 @@
 
 HOSTS = ("brest-1", "quimper-1", "lorient-1")
 PREPAID = 200_000
-# How often each action is taken, out of a hundred.
+# The relative frequency of each action.
 WEIGHTS = {
     "hold": 46,
     "deliver": 24,
     "settle": 8,
     "restart": 2,
-    "meet": 10,
-    "return": 2,
+    "heartbeat": 10,
+    "return_all": 2,
     "recover": 3,
-    "move": 1,
-    "fail": 2,
-    "land": 2,
-    "lock": 8,
+    "change_home": 1,
+    "change_faults": 2,
+    "land_late_writes": 2,
+    "run_lock_keeper": 8,
     "restart_all": 1,
 }
 N_SEEDS = 60
@@ -34,16 +34,16 @@
 
 
 class OverspendFuzz(unittest.IsolatedAsyncioTestCase):
-    """Drive three homes of the same accounts through random faults."""
+    """Run three homes of the same accounts through random faults."""
 
     async def test_no_fault_spends_more_than_was_prepaid(self) -> None:
-        """Let hosts hold tokens while the store fails and hosts restart.
+        """Hold tokens while the store fails and hosts restart.
 
-        A caller's workspace has 200,000 tokens. Hosts hold and settle, become home
-        in turn, are killed and restarted, and give tokens back; the store is down,
-        refuses, loses answers and carries out writes late. What was really spent
-        must stay within the prepaid tokens at each step, and within what the store
-        counts as drawn less what the live hosts may still grant.
+        A workspace has 200,000 tokens. Hosts hold and settle tokens, become home in
+        turn, are killed and restarted, and return tokens; the store is down, refuses
+        calls, loses replies and applies writes late. At each step, the tokens really
+        spent must not exceed the prepaid ones, nor what the store counts as drawn
+        less what the live homes may still grant.
         """
         for seed in range(N_SEEDS):
             with self.subTest(seed=seed):
@@ -72,11 +72,11 @@
         if action == "hold":
             tokens = generator.randrange(1, 9_000)
             await cluster.request_grant(host, other, workspace, request, tokens)
-        elif action == "return":
+        elif action == "return_all":
             await cluster.homes[host].return_all()
         elif action == "recover":
             await cluster.recover(host, workspace)
-        elif action == "lock":
+        elif action == "run_lock_keeper":
             await cluster.run_lock_keeper(host)
         elif action == "restart_all":
             await self._restart_all(cluster, generator)
@@ -93,7 +93,7 @@
         for host in HOSTS:
             await cluster.run_lock_keeper(host)
         cluster.update_all_peers()
-        # The next home meets the accounts, then what the ended ones have left.
+        # The next homes read the accounts, then recover the tokens of the ended ones.
         requester, *others = HOSTS
         for host in others:
             for workspace in (WORKSPACE, OTHER_WORKSPACE):
@@ -106,7 +106,7 @@
 def apply_action(
     cluster: EscrowCluster, generator: random.Random, action: str, host: str, other: str
 ) -> None:
-    """Carry out one of the actions that wait for nothing."""
+    """Carry out one of the synchronous actions."""
     if action == "deliver" and cluster.in_flight:
         cluster.deliver(generator.choice(cluster.in_flight))
     elif action == "settle" and cluster.running:
@@ -114,22 +114,22 @@
         cluster.settle(ended, generator.randrange(cluster.running[ended].tokens + 1))
     elif action == "restart":
         cluster.start(host)
-    elif action == "meet":
+    elif action == "heartbeat":
         cluster.update_peer(host, other)
-    elif action == "move":
+    elif action == "change_home":
         cluster.home = host
-    elif action == "fail":
+    elif action == "change_faults":
         pick_faults(cluster.store, generator)
         cluster.unreachable = {host} if generator.random() < 0.3 else set()
-    elif action == "land":
+    elif action == "land_late_writes":
         cluster.store.land()
 
 
 class HomeTest(unittest.IsolatedAsyncioTestCase):
-    """Test what callers get from one or two homes."""
+    """Test which holds one or two homes grant."""
 
     async def test_whole_budget_can_be_spent(self) -> None:
-        """Spend a budget to its last tokens through one home, in small requests."""
+        """Spend a whole budget through one home in small requests."""
         cluster = EscrowCluster(prepaid=100_000, home="brest-1")
         cluster.start("lorient-1")
         cluster.start("brest-1")
@@ -144,10 +144,11 @@
         self.assertIs(refused, Reason.BUDGET_EXHAUSTED)
 
     async def test_last_tokens_serve_short_requests(self) -> None:
-        """Ask for a dossier and for short answers with 12,000 tokens left of 200,000.
+        """Make long and short requests with 12,000 tokens left of 200,000.
 
-        The dossier of 9,000 would leave nothing for a dozen others, who come in the
-        same second. They are served; a dossier that takes half at most still is.
+        A request of 9,000 tokens would leave too little for a dozen short ones in the
+        same second, so it is refused. The short ones get tokens, and so does a long
+        one that takes at most half.
         """
         cluster = EscrowCluster(prepaid=200_000, home="brest-1")
         cluster.start("lorient-1")
@@ -165,11 +166,11 @@
             self.assertTrue(held, number)
 
     async def test_stock_serves_through_an_outage(self) -> None:
-        """Cut the home from the store while callers go on.
+        """Take the store down while callers continue.
 
-        The home has seen 10,000 tokens a second for 5 s and drawn ahead. Then the
-        store is down for 6 s. Each caller is still served, for the stock covers
-        eight seconds of the demand and is filled up once it falls to 85%.
+        The home has had a demand of 10,000 tokens per second for 5 s and has drawn
+        its stock. Then the store is down for 6 s. Each caller still gets tokens,
+        because the stock covers the demand of an outage.
         """
         cluster = EscrowCluster(prepaid=2_000_000, home="brest-1")
         cluster.start("lorient-1")
@@ -187,10 +188,10 @@
             self.assertTrue(held, number)
 
     async def test_tokens_of_an_unconfirmed_return_are_not_held(self) -> None:
-        """Lose the answer to a return of tokens, then ask for tokens.
+        """Lose the reply to a return of tokens, then request tokens.
 
-        The write is on its way and may land at any time, upon which another host
-        can draw the same tokens. So a request that asks for them now is refused.
+        The write is delayed and may be stored at any time; then another host can
+        draw the same tokens. A request for them is therefore refused until then.
         """
         cluster = EscrowCluster(prepaid=10_000, home="brest-1")
         cluster.start("lorient-1")
@@ -212,10 +213,10 @@
         )
 
     async def test_unread_account_is_not_overwritten(self) -> None:
-        """Let a host first meet an account after it has written another one's.
+        """Draw on an account that the host has not read, after writing another one.
 
-        Both lie in one partition. Were the second taken for empty, the write would
-        drop what another host has drawn, and its tokens would be spent twice.
+        Both are in one partition. If the host took the unread account for empty, its
+        write would drop the draw of another host, and the tokens would be spent twice.
         """
         cluster = EscrowCluster(prepaid=10_000)
         cluster.start("lorient-1")
@@ -232,7 +233,7 @@
         )
 
     async def test_lowered_budget_applies_immediately(self) -> None:
-        """Lower the prepaid tokens below what is drawn; nothing more is held."""
+        """Lower the prepaid tokens below what is drawn; further holds are refused."""
         cluster = EscrowCluster(prepaid=100_000, home="brest-1")
         cluster.start("lorient-1")
         home = cluster.start("brest-1")
@@ -246,7 +247,7 @@
         )
 
     async def test_top_up_is_used(self) -> None:
-        """Raise the prepaid tokens of a spent budget; the next request is served."""
+        """Raise the prepaid tokens of an exhausted budget; the next hold is granted."""
         cluster = EscrowCluster(prepaid=10_000, home="brest-1")
         cluster.start("lorient-1")
         cluster.start("brest-1")
@@ -263,7 +264,7 @@
         )
 
     async def test_settlement_may_arrive_before_its_hold(self) -> None:
-        """Give up a hold whose message is slow; it must not stay held for ever."""
+        """Settle a hold whose message is delayed; it must not be held permanently."""
         cluster = EscrowCluster(prepaid=10_000, home="brest-1")
         cluster.start("lorient-1")
         home = cluster.start("brest-1")
@@ -276,10 +277,10 @@
         self.assertFalse(account.hold("late", 1_000, requester, 0.0))
 
     async def test_delayed_draw_cannot_overwrite_another(self) -> None:
-        """Lose a draw on its way, draw elsewhere, then let the lost one land.
+        """Delay a draw, draw at another host, then let the delayed write arrive.
 
-        The late record knows nothing of the other host's draw and would take its
-        place; a third host would then draw the same tokens again.
+        The delayed record lacks the other host's draw and would overwrite it; the
+        same tokens would then be drawn again.
         """
         cluster = EscrowCluster(prepaid=10_000)
         cluster.start("lorient-1")
@@ -298,7 +299,7 @@
         self.assertFalse(held)
 
     async def test_hold_is_refused_immediately_without_the_store(self) -> None:
-        """Ask a home without stock while the store is known to be out of reach."""
+        """Request a hold from a home without stock while the store is out of reach."""
         cluster = EscrowCluster(prepaid=10_000)
         cluster.start("lorient-1")
         home = cluster.start("brest-1")
--- a/tests/components/escrow/test_lock.py
+++ b/tests/components/escrow/test_lock.py
@@ -1,4 +1,4 @@
-"""Test that locked tokens come back only when they were surely not used."""
+"""Test that locked tokens are recovered only if they were provably not used."""
 
 import unittest
 
@@ -18,12 +18,12 @@
 
 
 class ProofTest(unittest.TestCase):
-    """Test what a process may conclude from its predecessor's promise."""
+    """Test what a process can prove from its predecessor's promise."""
 
     def list_untouched(
         self, *, boot: str = "boot-1", at: float = 99.0, offset: float = 5.0
     ) -> tuple[str, ...]:
-        """Return what a process proves that starts at a moment."""
+        """Return the proven predecessors of a process with the given start."""
         start = ProcessStart(boot=boot, at=at, offset=offset)
         return list_proven_untouched(RECORD, start)
 
@@ -34,10 +34,10 @@
         self.assertEqual(self.list_untouched(at=100.0), ())
 
     def test_clock_of_another_boot_proves_nothing(self) -> None:
-        """Start again after a loss of power; the steady clock began anew.
+        """Start after a loss of power, which restarts the monotonic clock.
 
-        It may stand anywhere. The machine's boot tells, or else that the clock
-        stands elsewhere against the time of day.
+        The clock may have any value. The reboot shows by the boot identifier, or
+        else by the clock's offset to the time of day.
         """
         self.assertEqual(self.list_untouched(boot="boot-2"), ())
         self.assertEqual(self.list_untouched(boot=""), ())
@@ -48,7 +48,7 @@
         self.assertEqual(list_proven_untouched(None, start), ())
 
     def test_promise_applies_before_the_store_confirms_it(self) -> None:
-        """Lose the answer to a renewal; the promise may have landed, so it binds."""
+        """Make a promise without a reply; it may be stored, so the lock is closed."""
         lock = ReserveLock()
         self.assertTrue(lock.is_open(10.0))
         lock.promise(10.0)
@@ -65,10 +65,10 @@
         return {record.key for record in listing.records}
 
     async def test_host_without_locked_tokens_writes_no_promise(self) -> None:
-        """Keep three hosts running, of which one is the home of an account.
+        """Run the lock keepers of three hosts, of which one is the home of an account.
 
-        With promises by all, renewed 2.5 times a second, a fleet of 195 hosts made 490
-        calls a second, a third of all that it made, for 80 homes at most.
+        When all hosts renewed promises 2.5 times a second, a fleet of 195 hosts made
+        490 calls a second, a third of all its calls, for 80 homes at most.
         """
         cluster = EscrowCluster(prepaid=200_000, home="brest-1")
         for host in HOSTS:
@@ -107,10 +107,10 @@
 
 
 class LockedStockTest(unittest.IsolatedAsyncioTestCase):
-    """Test what callers get from a locked stock in outages and after losses."""
+    """Test a stock with locked tokens in outages and after restarts of all hosts."""
 
     async def start_hosts(self) -> EscrowCluster:
-        """Return hosts whose home has drawn for 1,000 tokens asked every 0.1 s."""
+        """Return hosts whose home has drawn for 1,000 tokens requested every 0.1 s."""
         cluster = EscrowCluster(prepaid=200_000, home="brest-1")
         for host in HOSTS:
             cluster.start(host)
@@ -120,9 +120,9 @@
         return cluster
 
     async def request_holds(
-        self, cluster: EscrowCluster, n_requests: int, name: str
+        self, cluster: EscrowCluster, n_requests: int, prefix: str
     ) -> int:
-        """Return how many of some requests the home holds tokens for."""
+        """Make requests and return how many the home holds tokens for."""
         n_held = 0
         for number in range(n_requests):
             cluster.timer.time += 0.1
@@ -134,13 +134,13 @@
             if draw is not None:
                 await draw
             held = await cluster.hold(
-                "brest-1", "lorient-1", WORKSPACE, f"{name}-{number}", 1_000
+                "brest-1", "lorient-1", WORKSPACE, f"{prefix}-{number}", 1_000
             )
             n_held += held
         return n_held
 
     def count_drawn(self, cluster: EscrowCluster) -> int:
-        """Return what the store says is drawn."""
+        """Return the tokens drawn by the record that the successor has read."""
         home = cluster.homes["quimper-1"]
         return home._accounts[WORKSPACE].record.drawn
 
@@ -160,11 +160,11 @@
         await cluster.homes["quimper-1"]._recover(WORKSPACE)
 
     async def test_locked_tokens_are_recovered_when_all_hosts_end(self) -> None:
-        """Kill all hosts while the store answers; they are back after 1.5 s.
+        """Kill all hosts while the store responds; they restart after 1.5 s.
 
-        The home had drawn for 9 s ahead and nobody is left to say what it granted.
-        Its successor starts before the home could have used what was locked, so
-        only what lay ready is lost.
+        The home had drawn for 9 s ahead, and no witness is left. Its successor starts
+        before the home could have used its locked tokens, so only the ready ones are
+        lost.
         """
         cluster = await self.start_hosts()
         spent = cluster.spent[WORKSPACE]
@@ -177,10 +177,10 @@
         self.assertEqual(lost, ready)
 
     async def test_tokens_used_in_an_outage_are_not_recovered(self) -> None:
-        """Cut the store off, use the locked tokens, then kill all hosts.
+        """Take the store down, use the locked tokens, then kill all hosts.
 
-        The home's promised moment passed in the outage. Were the tokens given back,
-        another home would draw and spend them a second time.
+        The home's promise expired in the outage. If the tokens were recovered, another
+        home would draw them and they would be spent a second time.
         """
         cluster = await self.start_hosts()
         cluster.store.down = True
@@ -196,10 +196,10 @@
         self.assertGreaterEqual(counted, cluster.spent[WORKSPACE])
 
     async def test_locked_tokens_are_unavailable_when_an_outage_starts(self) -> None:
-        """Ask for more than lies ready just after the store went silent.
+        """Request more than the ready tokens just after an outage has started.
 
-        The request is refused, and told for how long the lock stays closed; after
-        that it is served.
+        The hold is refused while the lock is closed, and granted after the wait that
+        the home reports.
         """
         cluster = await self.start_hosts()
         cluster.store.down = True
@@ -217,10 +217,10 @@
         )
 
     async def test_promise_is_not_renewed_while_locked_tokens_are_in_use(self) -> None:
-        """Let the store come back after the lock had opened and tokens were used.
+        """End an outage after the lock has opened and locked tokens were used.
 
-        A promise now would cover tokens that are spent. The home first writes what
-        is still unused, then promises.
+        A renewed promise would cover tokens that are spent. The home first writes
+        its remaining stock, then makes a new promise.
         """
         cluster = await self.start_hosts()
         home, lock = cluster.homes["brest-1"], cluster.keepers["brest-1"]._lock
@@ -239,10 +239,10 @@
         self.assertFalse(lock.is_open(cluster.timer.time))
 
     async def test_unconfirmed_increase_of_the_lock_applies(self) -> None:
-        """Lose the answer to a write that locks more than before.
+        """Lose the reply to a write that locks more tokens than before.
 
-        It may have landed, and a successor would then give back all of it. So the
-        home must not grant from the greater part either.
+        The write may be stored, and a successor would then recover all of them. The
+        home must therefore not grant any of them.
         """
         cluster = await self.start_hosts()
         account = cluster.homes["brest-1"]._accounts[WORKSPACE]
@@ -255,10 +255,10 @@
         self.assertEqual(account.get_available(cluster.timer.time), 0)
 
     async def test_unconfirmed_return_stays_reserved_after_a_conflict(self) -> None:
-        """Lose the answer to a return that landed, then write at the same place.
+        """Lose the reply to a stored return, then write at the same offset.
 
-        The second write meets the first one's record. Until the account is read
-        again the home must not grant what it gave back: another home may have it.
+        The second write conflicts with the first. Until the account is read again,
+        the home must not grant the returned tokens: another home may have drawn them.
         """
         cluster = EscrowCluster(prepaid=10_000, home="brest-1")
         cluster.start("lorient-1")
@@ -271,7 +271,7 @@
         await home.return_all()
         cluster.store.lose_share = 0.0
         account = home._accounts[WORKSPACE]
-        # The end is known to the home as it was before the return.
+        # Reset the home's end offset to the one before the return.
         home._records._end_offsets[0] = account.pending_at
         await home._records.put(account, account.record)
         self.assertLessEqual(account.unused, 1_000)
--- a/tests/components/escrow/test_patience.py
+++ b/tests/components/escrow/test_patience.py
@@ -1,4 +1,4 @@
-"""Test which requests wait for tokens in an outage, and which are refused at once."""
+"""Test which requests wait for tokens in an outage and which are refused."""
 
 import unittest
 
@@ -11,7 +11,7 @@
     def plan_wait(
         self, *, deadline_s: float, store_return_s: float, lock_wait_s: float = 0.0
     ) -> float | None:
-        """Return how long a request that came just now waits, None if refused."""
+        """Return the wait of a request that has just arrived, None if refused."""
         patience = Patience.start(now=0.0, silence_s=3.2, deadline=deadline_s)
         return patience.plan_wait(
             0.0, lock_wait_s=lock_wait_s, store_return_s=store_return_s
@@ -21,15 +21,21 @@
         self.assertIsNotNone(self.plan_wait(deadline_s=15.0, store_return_s=1.5))
 
     def test_caller_that_can_retry_in_time_is_refused_immediately(self) -> None:
-        """Ask 4 s before the store is back, with 15 s left; it comes back in 5 s."""
+        """Request tokens 4 s before the store is back, with 15 s left.
+
+        The caller retries within 5 s.
+        """
         self.assertIsNone(self.plan_wait(deadline_s=15.0, store_return_s=4.0))
 
     def test_wait_and_retry_together_cover_an_outage(self) -> None:
-        """Ask 6.5 s before the store is back; neither 2.2 s nor 5 s reach that far."""
+        """Request tokens 6.5 s before the store is back.
+
+        Neither a wait of 2.2 s nor a retry within 5 s alone covers that time.
+        """
         self.assertIsNotNone(self.plan_wait(deadline_s=15.0, store_return_s=6.5))
 
     def test_short_deadline_is_refused_immediately(self) -> None:
-        """Ask with 3 s left, 6.5 s before the store is back: nothing helps."""
+        """Request tokens with 3 s left, 6.5 s before the store is back."""
         self.assertIsNone(self.plan_wait(deadline_s=3.0, store_return_s=6.5))
 
     def test_request_waits_for_a_lock_that_opens_soon(self) -> None:
@@ -38,7 +44,7 @@
         self.assertAlmostEqual(wait_s, 1.02)
 
     def test_wait_ends_before_the_caller_gives_up(self) -> None:
-        """Wait through an outage that is longer than any before; then be refused."""
+        """Refuse a request in an outage that lasts longer than the wait."""
         patience = Patience.start(now=0.0, silence_s=3.2, deadline=15.0)
         self.assertIsNone(patience.plan_wait(2.0, lock_wait_s=0.0, store_return_s=1.0))
 
--- a/tests/components/escrow/test_recovery.py
+++ b/tests/components/escrow/test_recovery.py
@@ -1,4 +1,4 @@
-"""Test that an ended home's tokens come back, each once."""
+"""Test that the unused tokens of an ended home are recovered exactly once."""
 
 import unittest
 
@@ -6,13 +6,13 @@
 
 
 class RecoveryTest(unittest.IsolatedAsyncioTestCase):
-    """Test what other homes learn from the hosts that an ended one granted to."""
+    """Test the recovery of a home from the reports of its witnesses."""
 
     async def test_unused_tokens_of_an_ended_home_are_drawn_again(self) -> None:
-        """Kill a home that has drawn far ahead; its successor draws the rest again.
+        """Kill a home with a large stock; its successor draws the rest again.
 
-        The home drew for ten callers' requests and a stock. Its witnesses say that
-        10,000 tokens were granted, so the caller gets all the others.
+        The home drew for ten requests and a stock. Its witnesses report that 10,000
+        tokens were granted, so that later requests get all others.
         """
         cluster = EscrowCluster(prepaid=100_000, home="brest-1")
         cluster.start("lorient-1")
@@ -37,10 +37,10 @@
             self.assertTrue(held, number)
 
     async def test_grant_that_arrives_after_the_seal_is_not_used(self) -> None:
-        """Kill a home whose grant is still on its way to a caller's host.
+        """Kill a home while its grant is in flight to a requester.
 
-        The successor has counted what the host got so far and drawn the rest again.
-        Used after that, the late grant would be spent twice.
+        The successor has counted the requester's earlier grants and drawn the rest
+        again. If the late grant were used then, its tokens would be spent twice.
         """
         cluster = EscrowCluster(prepaid=10_000, home="brest-1")
         cluster.start("lorient-1")
@@ -58,7 +58,7 @@
         self.assertFalse(
             await cluster.hold("quimper-1", "lorient-1", WORKSPACE, "first", 9_000)
         )
-        # The successor first reads the record, then hears the home's new start.
+        # The successor first reads the record, then receives the new heartbeat.
         await cluster.homes["quimper-1"]._recover(WORKSPACE)
         cluster.timer.time += 1.0
         cluster.update_all_peers()
@@ -69,7 +69,7 @@
         self.assertFalse(cluster.deliver(late))
 
     async def test_draw_counts_in_full_without_its_witness(self) -> None:
-        """Kill a home and a host that it granted to; nobody knows what was used."""
+        """Kill a home and a host that it granted to; no host knows what was used."""
         cluster = EscrowCluster(prepaid=10_000, home="brest-1")
         cluster.start("lorient-1")
         cluster.start("quimper-1")
@@ -89,10 +89,10 @@
         )
 
     async def test_grants_to_a_previous_incarnation_are_counted(self) -> None:
-        """Restart a host that was granted tokens, then kill its home.
+        """Restart a host that was granted tokens, then kill the home.
 
-        The home serves the host's new incarnation, which knows nothing of the old
-        one's grants. What the old one got stands in the home's record.
+        The host's new incarnation has no record of the grants to the previous one,
+        which the home's record counts instead.
         """
         cluster = EscrowCluster(prepaid=10_000, home="brest-1")
         cluster.start("lorient-1")
@@ -118,10 +118,10 @@
         self.assertTrue(held)
 
     async def test_reply_of_a_restarted_witness_is_not_counted(self) -> None:
-        """Ask a witness that has restarted without the asker knowing it.
+        """Seal a home at a witness that has restarted without the successor knowing.
 
-        Its answer names another incarnation, so it says nothing of what the earlier
-        one used. Counted as zero, those tokens would be spent twice.
+        The reply is from another incarnation, so it does not include what the
+        previous one used. If that counted as zero, the tokens would be spent twice.
         """
         cluster = EscrowCluster(prepaid=10_000, home="brest-1")
         cluster.start("lorient-1")
@@ -142,10 +142,10 @@
         self.assertFalse(held)
 
     async def test_restarted_home_is_not_taken_for_ended(self) -> None:
-        """Restart a home; a host that has not heard it since reads its new record.
+        """Restart a home; a host without its new heartbeat reads its new record.
 
-        The host still knows the incarnation before. Took it the new one for ended,
-        all hosts would refuse the new home's grants until its next start.
+        The host still knows the previous incarnation. If it took the new one for
+        ended, all hosts would refuse the home's grants until its next start.
         """
         cluster = EscrowCluster(prepaid=10_000, home="brest-1")
         for host in ("lorient-1", "quimper-1", "brest-1"):
@@ -164,10 +164,10 @@
         )
 
     async def test_host_missing_from_the_stored_roster_gets_no_grant(self) -> None:
-        """Let a host come up, and lose the write that names it as a witness.
+        """Start a host and lose the write that lists it as a witness.
 
-        Were it granted tokens now and the home killed, nobody would be asked about
-        them, and they would be drawn again.
+        If it got a grant and the home were killed, no host would be asked about the
+        grant, and its tokens would be drawn again.
         """
         cluster = EscrowCluster(prepaid=100_000, home="brest-1")
         cluster.start("lorient-1")
--- a/tests/components/escrow/test_rosters.py
+++ b/tests/components/escrow/test_rosters.py
@@ -1,4 +1,4 @@
-"""Test what lists of hosts cost a large fleet."""
+"""Test how many rosters a large fleet reads, writes and keeps in memory."""
 
 import unittest
 
@@ -15,12 +15,12 @@
 
 N_HOSTS = 195
 N_PARTITIONS = 24
-# A home of a large fleet names hosts that did not ask yet once a second.
+# A home of a large fleet lists hosts that sent no request at most once a second.
 MAX_ROSTERS_PER_S = 1
 
 
 def make_members(n_changed: int) -> dict[str, str]:
-    """Return a list of which some hosts have started again."""
+    """Return a roster in which some hosts have restarted."""
     return {
         f"host-{number}": f"host-{number}-{int(number < n_changed)}"
         for number in range(N_HOSTS)
@@ -28,7 +28,7 @@
 
 
 class CountingStore(KeyedStore):
-    """Count the bytes that listings hold."""
+    """Count the bytes of all listings."""
 
     n_bytes = 0
 
@@ -40,13 +40,14 @@
 
 
 class RosterStoreTest(unittest.IsolatedAsyncioTestCase):
-    """Test lists of 195 hosts."""
+    """Test rosters of 195 hosts."""
 
     async def test_one_roster_is_read_without_all_others(self) -> None:
-        """Write a list at each of 195 restarts, then recover a home that names one.
+        """Write a roster after each of 195 restarts, then read one as in a recovery.
 
-        With all lists in one partition each host that recovered an account read 2 MB,
-        which takes 1.6 s on a link of 10 Mbit/s, while callers waited for its tokens.
+        With all rosters in one partition, each host that recovered an account read
+        2 MB, which takes 1.6 s on a link of 10 Mbit/s, while callers waited for its
+        tokens.
         """
         store = CountingStore()
         writer = RosterStore(store=store, n_partitions=N_PARTITIONS)
@@ -56,11 +57,11 @@
         reader = RosterStore(store=store, n_partitions=N_PARTITIONS)
         self.assertEqual(await reader.read(name), make_members(7))
         n_roster_bytes = len(ROSTER_CODEC.encode(Roster(members=make_members(7))))
-        # Lists spread over the partitions by hash; one gets three times its share.
+        # The hash spreads rosters unevenly; a partition may get three times its share.
         self.assertLess(store.n_bytes, 3 * n_roster_bytes * N_HOSTS / N_PARTITIONS)
 
     async def test_roster_of_an_earlier_version_is_found(self) -> None:
-        """Read a list that a host wrote before lists were spread over partitions."""
+        """Read a roster of a version that wrote all rosters to one partition."""
         store = KeyedStore()
         name = get_roster_name(make_members(7))
         value = ROSTER_CODEC.encode(Roster(members=make_members(7)))
@@ -91,10 +92,10 @@
 
 
 class RosterUpdateTest(unittest.IsolatedAsyncioTestCase):
-    """Test how often a home of a large fleet names the hosts that it serves."""
+    """Test how often a home of a large fleet writes its roster."""
 
     async def start_hosts(self) -> EscrowCluster:
-        """Return a home that hears of 30 more hosts, ten a second."""
+        """Return a home that receives heartbeats of 30 more hosts, ten a second."""
         cluster = EscrowCluster(prepaid=200_000, home="brest-0")
         for number in range(20):
             cluster.start(f"brest-{number}")
@@ -110,7 +111,7 @@
         return cluster
 
     async def test_starting_hosts_are_listed_together(self) -> None:
-        """Start 30 hosts in 3 s; the home has no need to name each by itself."""
+        """Start 30 hosts in 3 s; the home writes its roster once a second."""
         cluster = await self.start_hosts()
         listing = await cluster.store.list_newest(Topic.ROSTERS)
         self.assertLessEqual(len(listing.records), 1 + 3 * MAX_ROSTERS_PER_S)
--- a/tests/components/escrow/test_start.py
+++ b/tests/components/escrow/test_start.py
@@ -1,4 +1,4 @@
-"""Test what the start of a large fleet asks of the store."""
+"""Test the load on the store when a large fleet starts."""
 
 import unittest
 
@@ -14,7 +14,7 @@
     """Test when a home first draws for its workspaces."""
 
     def start_hosts(self, n_hosts: int) -> EscrowCluster:
-        """Return hosts of which one has just heard of another."""
+        """Return hosts of which one has just received another's first heartbeat."""
         cluster = EscrowCluster(prepaid=200_000, home="brest-0")
         cluster.timer.time = 10.0
         for number in range(n_hosts):
@@ -24,7 +24,7 @@
         return cluster
 
     async def check_stocks(self, cluster: EscrowCluster) -> bool:
-        """Let the home keep its stocks; tell whether it draws."""
+        """Let the home check its stocks; return whether it draws."""
         home = cluster.homes["brest-0"]
         await home._check_stocks()
         draw = home._draws.get(WORKSPACE)
@@ -33,10 +33,11 @@
         return draw is not None
 
     async def test_home_does_not_draw_while_the_live_hosts_change(self) -> None:
-        """Start hosts that hear of each other over a second.
+        """Check the stocks while the live hosts change and after they are stable.
 
-        Each takes itself for the home of most workspaces while it knows few others. 83
-        hosts made 1,100 draws in a second that the store refused, beside 365 others.
+        A host that knows few others takes itself for the home of most workspaces. 83
+        starting hosts made 1,100 draws in a second that the store refused, besides 365
+        that it accepted.
         """
         cluster = self.start_hosts(N_HOSTS)
         self.assertFalse(await self.check_stocks(cluster))
@@ -54,10 +55,10 @@
 
 
 class LiveHostsTest(unittest.TestCase):
-    """Test when the live hosts count as changed."""
+    """Test when the set of live hosts counts as changed."""
 
     def test_lost_and_returned_hosts_are_a_change(self) -> None:
-        """Lose one of three hosts, then hear of it again."""
+        """Miss the heartbeats of one of three hosts, then receive one again."""
         board = make_board("host-0", ["host-1", "host-2"])
         self.assertEqual(board.list_live_hosts(1.0, SILENT_S)[1:], ("host-1", "host-2"))
         board.peers["host-1"].last_heard = 5.0
--- a/tests/components/escrow/test_stock.py
+++ b/tests/components/escrow/test_stock.py
@@ -1,4 +1,4 @@
-"""Test how large stocks are, and when they are changed."""
+"""Test the size of stocks and when they are changed."""
 
 import unittest
 
@@ -19,7 +19,7 @@
     waiting: int = 0,
     demand: float = 27_000.0,
 ) -> StockState:
-    """Return the state of a home whose workspace uses 27,000 tokens a second."""
+    """Return the state of a home whose workspace uses 27,000 tokens per second."""
     return StockState(
         prepaid=prepaid,
         free=free,
@@ -31,12 +31,12 @@
 
 
 class StockTest(unittest.TestCase):
-    """Test the stock of a home."""
+    """Test the target of a home's stock and its changes."""
 
     def test_ready_stock_is_small_late_in_a_budget(self) -> None:
-        """Ask for any demand with a third of the budget left.
+        """Plan for any demand with a third of the budget left.
 
-        Both homes of a workspace may be lost at once, and 3% of the budget is what
+        Both homes of a workspace may be lost together, and at most 3% of the budget
         may go unused before callers are refused falsely.
         """
         for demand in (0.0, 1_000.0, 27_000.0, 1_000_000.0):
@@ -48,7 +48,7 @@
             self.assertEqual(sum(item.locked for item in targets), 0)
 
     def test_full_budget_covers_an_outage(self) -> None:
-        """Ask for 27,000 tokens a second with 900,000 left: 7 s are covered."""
+        """Plan for 27,000 tokens per second with 900,000 left; the stock covers 7 s."""
         target = get_target(make_state(free=900_000), HomeRank.FIRST)
         self.assertGreaterEqual(target.ready + target.locked, 7 * 27_000)
 
@@ -66,13 +66,13 @@
         self.assertIsNone(plan_change(full, HomeRank.FIRST))
 
     def test_draw_covers_waiting_requests(self) -> None:
-        """Let a dossier of 54,000 tokens wait; the draw makes it ready."""
+        """Let a request of 54,000 tokens wait; the draw leaves as many unlocked."""
         change = plan_change(make_state(waiting=54_000), HomeRank.FIRST)
         assert change is not None
         self.assertGreaterEqual(change.tokens - change.locked, 54_000)
 
     def test_last_tokens_are_unlocked_for_waiting_requests(self) -> None:
-        """Let a request wait with nothing free; it gets what was locked."""
+        """Let a request wait with no tokens free; it gets locked ones."""
         state = make_state(free=0, unused=9_000, locked=9_000, waiting=2_000)
         change = plan_change(state, HomeRank.FIRST)
         assert change is not None
