--- a/tests/components/escrow/common.py
+++ b/tests/components/escrow/common.py
@@ -75,9 +75,8 @@
     unreachable: set[str] = field(default_factory=set)
     home: str = ""
     n_starts: int = 0
-    confirmed: list[str] = field(
-        default_factory=list
-    )  # hosts asked for their incarnation
+    # The hosts that were asked for their incarnation.
+    confirmed: list[str] = field(default_factory=list)
     spent: dict[str, int] = field(default_factory=dict)
     in_flight: list[Grant] = field(default_factory=list)
     running: dict[str, Grant] = field(default_factory=dict)
--- a/trefoilstage/components/escrow/client.py
+++ b/trefoilstage/components/escrow/client.py
@@ -35,8 +35,8 @@
 # The home itself waits up to 1 s for a draw.
 HOLD_TIMEOUT_S = 1.1
 SETTLE_TIMEOUT_S = 1.0
-# The most settlements kept for a home that has not confirmed them. The oldest beyond it
-# are dropped, and their holds count as spent in full.
+# The most settlements kept for a home that has not confirmed them. Others are dropped,
+# and their holds count as spent in full.
 MAX_KEPT_SETTLEMENTS = 5_000
 
 
--- a/trefoilstage/components/escrow/grants.py
+++ b/trefoilstage/components/escrow/grants.py
@@ -23,7 +23,7 @@
 
     Only the home itself knows how many of its drawn tokens it has not granted. After
     it ends, each host that received grants (a witness) seals it: the host reports
-    what it received and refuses later grants, including those already on their way.
+    what it received and refuses later grants, including those already in flight.
     All other tokens can then be drawn again.
     """
 
--- a/trefoilstage/components/escrow/home.py
+++ b/trefoilstage/components/escrow/home.py
@@ -1,7 +1,7 @@
 """Hold tokens for the requests of all hosts, as the home of some workspaces.
 
 The home draws tokens from a workspace's account in the store and keeps a stock of them.
-It grants tokens to a request by a hold, which the request settles with what it spent.
+A request gets a hold on tokens and later settles it with what it spent.
 """
 
 import asyncio
@@ -265,8 +265,10 @@
 
     def _may_update_roster(self, workspace: str, now: float) -> bool:
         """Return whether a roster may be written without a waiting request."""
-        named_at = self._named_at.get(workspace, float("-inf"))
-        return not self._board.is_large() or now - named_at >= ROSTER_UPDATE_INTERVAL_S
+        written_at = self._named_at.get(workspace, float("-inf"))
+        return (
+            not self._board.is_large() or now - written_at >= ROSTER_UPDATE_INTERVAL_S
+        )
 
     def _start_recovery(self, workspace: str, now: float) -> None:
         draw = self._draws.get(workspace)
--- a/trefoilstage/components/escrow/lock.py
+++ b/trefoilstage/components/escrow/lock.py
@@ -22,8 +22,8 @@
 # A host that restarts again before its first predecessor is settled passes the proof
 # on.
 MAX_PROOFS = 4
-# If the machine's boot cannot be identified, a restarted monotonic clock shows by its
-# offset to the time of day. A step of the time of day only invalidates the proof.
+# If two boots have the same identifier, a restarted monotonic clock shows by its offset
+# to the time of day. A step of the time of day only invalidates the proof.
 MAX_CLOCK_OFFSET_CHANGE_S = 1.0
 
 
--- a/trefoilstage/components/escrow/lock_keeper.py
+++ b/trefoilstage/components/escrow/lock_keeper.py
@@ -49,7 +49,7 @@
         self._renewing = False
 
     async def on_start(self) -> None:
-        """Start to read the predecessor's promise and to renew the own one."""
+        """Start to read the predecessor's promise and to renew this host's own."""
         self.add_future(self.read_predecessor())
         self._unsubscribe = self._timer.subscribe(
             name="reserve lock", interval_s=RENEW_INTERVAL_S, callback=self.renew
