--- a/tests/components/escrow/test_home.py
+++ b/tests/components/escrow/test_home.py
@@ -1,4 +1,4 @@
-"""Test that prepaid tokens are never spent twice, and seldom kept from callers."""
+"""Test that prepaid tokens are never spent twice and rarely withheld from callers."""
 
 import random
 import unittest
@@ -6,7 +6,7 @@
 from tests.components.escrow.common import (
     OTHER_WORKSPACE,
     WORKSPACE,
-    Bank,
+    EscrowCluster,
     make_configuration,
     pick_faults,
 )
@@ -14,19 +14,19 @@
 
 HOSTS = ("brest-1", "quimper-1", "lorient-1")
 PREPAID = 200_000
-# How often each action is taken, out of a hundred.
+# The relative frequency of each action.
 WEIGHTS = {
     "hold": 46,
     "deliver": 24,
     "settle": 8,
     "restart": 2,
-    "meet": 10,
-    "return": 2,
+    "heartbeat": 10,
+    "return_all": 2,
     "recover": 3,
-    "move": 1,
-    "fail": 2,
-    "land": 2,
-    "lock": 8,
+    "change_home": 1,
+    "change_faults": 2,
+    "land_late_writes": 2,
+    "run_lock_keeper": 8,
     "restart_all": 1,
 }
 N_SEEDS = 60
@@ -34,258 +34,277 @@
 
 
 class OverspendFuzz(unittest.IsolatedAsyncioTestCase):
-    """Drive three homes of the same accounts through random faults."""
+    """Run three homes of the same accounts through random faults."""
 
     async def test_no_fault_spends_more_than_was_prepaid(self) -> None:
-        """Let hosts hold tokens while the store fails and hosts restart.
+        """Hold tokens while the store fails and hosts restart.
 
-        A caller's workspace has 200,000 tokens. Hosts hold and settle, become home
-        in turn, are killed and restarted, and give tokens back; the store is down,
-        refuses, loses answers and carries out writes late. What was really spent
-        must stay within the prepaid tokens at each step, and within what the store
-        counts as drawn less what the live hosts may still grant.
+        A workspace has 200,000 tokens. Hosts hold and settle tokens, become home in
+        turn, are killed and restarted, and return tokens; the store is down, refuses
+        calls, loses replies and applies writes late. At each step, the tokens really
+        spent must not exceed the prepaid ones, nor what the store counts as drawn
+        less what the live homes may still grant.
         """
         for seed in range(N_SEEDS):
             with self.subTest(seed=seed):
-                await self._play(seed)
+                await self._run_seed(seed)
 
-    async def _play(self, seed: int) -> None:
+    async def _run_seed(self, seed: int) -> None:
         generator = random.Random(seed)
-        bank = Bank(prepaid=PREPAID, home=generator.choice(HOSTS))
-        bank.store.generator = random.Random(seed + 1_000)
+        cluster = EscrowCluster(prepaid=PREPAID, home=generator.choice(HOSTS))
+        cluster.store.generator = random.Random(seed + 1_000)
         for host in HOSTS:
-            bank.start(host)
+            cluster.start(host)
         for step in range(N_STEPS):
-            await self._step(bank, generator, f"request-{step}")
-            for workspace, spent in bank.spent.items():
+            await self._run_step(cluster, generator, f"request-{step}")
+            for workspace, spent in cluster.spent.items():
                 self.assertLessEqual(spent, PREPAID, (seed, step, workspace))
-                counted = bank.count_used(workspace)
+                counted = cluster.count_unavailable(workspace)
                 self.assertLessEqual(spent, counted, (seed, step, workspace))
 
-    async def _step(self, bank: Bank, generator: random.Random, request: str) -> None:
-        bank.timer.time += generator.choice([0.01, 0.1, 0.5])
+    async def _run_step(
+        self, cluster: EscrowCluster, generator: random.Random, request: str
+    ) -> None:
+        cluster.timer.time += generator.choice([0.01, 0.1, 0.5])
         host, other = generator.choice(HOSTS), generator.choice(HOSTS)
         workspace = generator.choice([WORKSPACE, OTHER_WORKSPACE])
         action = generator.choices(list(WEIGHTS), weights=list(WEIGHTS.values()))[0]
         if action == "hold":
             tokens = generator.randrange(1, 9_000)
-            await bank.send(host, other, workspace, request, tokens)
-        elif action == "return":
-            await bank.homes[host].return_all()
+            await cluster.request_grant(host, other, workspace, request, tokens)
+        elif action == "return_all":
+            await cluster.homes[host].return_all()
         elif action == "recover":
-            await bank.recover(host, workspace)
-        elif action == "lock":
-            await bank.keep_lock(host)
+            await cluster.recover(host, workspace)
+        elif action == "run_lock_keeper":
+            await cluster.run_lock_keeper(host)
         elif action == "restart_all":
-            await self._restart_all(bank, generator)
+            await self._restart_all(cluster, generator)
         else:
-            change(bank, generator, action, host, other)
+            apply_action(cluster, generator, action, host, other)
 
-    async def _restart_all(self, bank: Bank, generator: random.Random) -> None:
-        bank.timer.time += generator.choice([0.5, 1.5, 4.0])
+    async def _restart_all(
+        self, cluster: EscrowCluster, generator: random.Random
+    ) -> None:
+        cluster.timer.time += generator.choice([0.5, 1.5, 4.0])
         for host in HOSTS:
-            bank.start(host)
-        bank.store.down, bank.store.refuse_share = False, 0.0
+            cluster.start(host)
+        cluster.store.down, cluster.store.refuse_share = False, 0.0
         for host in HOSTS:
-            await bank.keep_lock(host)
-        bank.meet_all()
-        # The next home meets the accounts, then what the ended ones have left.
+            await cluster.run_lock_keeper(host)
+        cluster.update_all_peers()
+        # The next homes read the accounts, then recover the tokens of the ended ones.
         requester, *others = HOSTS
         for host in others:
             for workspace in (WORKSPACE, OTHER_WORKSPACE):
-                name = f"after-{bank.n_starts}-{workspace}"
-                await bank.send(host, requester, workspace, name, 1)
+                name = f"after-{cluster.n_starts}-{workspace}"
+                await cluster.request_grant(host, requester, workspace, name, 1)
                 for _ in range(len(HOSTS)):
-                    await bank.recover(host, workspace)
+                    await cluster.recover(host, workspace)
 
 
-def change(
-    bank: Bank, generator: random.Random, action: str, host: str, other: str
+def apply_action(
+    cluster: EscrowCluster, generator: random.Random, action: str, host: str, other: str
 ) -> None:
-    """Carry out one of the actions that wait for nothing."""
-    if action == "deliver" and bank.on_way:
-        bank.deliver(generator.choice(bank.on_way))
-    elif action == "settle" and bank.running:
-        ended = generator.choice(sorted(bank.running))
-        bank.settle(ended, generator.randrange(bank.running[ended].tokens + 1))
+    """Carry out one of the synchronous actions."""
+    if action == "deliver" and cluster.in_flight:
+        cluster.deliver(generator.choice(cluster.in_flight))
+    elif action == "settle" and cluster.running:
+        ended = generator.choice(sorted(cluster.running))
+        cluster.settle(ended, generator.randrange(cluster.running[ended].tokens + 1))
     elif action == "restart":
-        bank.start(host)
-    elif action == "meet":
-        bank.meet(host, other)
-    elif action == "move":
-        bank.home = host
-    elif action == "fail":
-        pick_faults(bank.store, generator)
-        bank.unreachable = {host} if generator.random() < 0.3 else set()
-    elif action == "land":
-        bank.store.land()
+        cluster.start(host)
+    elif action == "heartbeat":
+        cluster.update_peer(host, other)
+    elif action == "change_home":
+        cluster.home = host
+    elif action == "change_faults":
+        pick_faults(cluster.store, generator)
+        cluster.unreachable = {host} if generator.random() < 0.3 else set()
+    elif action == "land_late_writes":
+        cluster.store.land()
 
 
 class HomeTest(unittest.IsolatedAsyncioTestCase):
-    """Test what callers get from one or two homes."""
+    """Test which holds one or two homes grant."""
 
     async def test_whole_budget_can_be_spent(self) -> None:
-        """Spend a budget to its last tokens through one home, in small requests."""
-        bank = Bank(prepaid=100_000, home="brest-1")
-        bank.start("lorient-1")
-        bank.start("brest-1")
+        """Spend a whole budget through one home in small requests."""
+        cluster = EscrowCluster(prepaid=100_000, home="brest-1")
+        cluster.start("lorient-1")
+        cluster.start("brest-1")
         for number in range(100):
-            held = await bank.hold(
+            held = await cluster.hold(
                 "brest-1", "lorient-1", WORKSPACE, f"request-{number}", 1_000
             )
             self.assertTrue(held, number)
-        refused = await bank.homes["brest-1"].hold(
-            WORKSPACE, "one-more", 1_000, bank.boards["lorient-1"].incarnation
+        refused = await cluster.homes["brest-1"].hold(
+            WORKSPACE, "one-more", 1_000, cluster.boards["lorient-1"].incarnation
         )
         self.assertIs(refused, Reason.BUDGET_EXHAUSTED)
 
     async def test_last_tokens_serve_short_requests(self) -> None:
-        """Ask for a dossier and for short answers with 12,000 tokens left of 200,000.
+        """Make long and short requests with 12,000 tokens left of 200,000.
 
-        The dossier of 9,000 would leave nothing for a dozen others, who come in the
-        same second. They are served; a dossier that takes half at most still is.
+        A request of 9,000 tokens would leave too little for a dozen short ones in the
+        same second, so it is refused. The short ones get tokens, and so does a long
+        one that takes at most half.
         """
-        bank = Bank(prepaid=200_000, home="brest-1")
-        bank.start("lorient-1")
-        bank.start("brest-1")
-        bank.meet_all()
-        held = await bank.hold("brest-1", "lorient-1", WORKSPACE, "most", 188_000)
+        cluster = EscrowCluster(prepaid=200_000, home="brest-1")
+        cluster.start("lorient-1")
+        cluster.start("brest-1")
+        cluster.update_all_peers()
+        held = await cluster.hold("brest-1", "lorient-1", WORKSPACE, "most", 188_000)
         self.assertTrue(held)
-        held = await bank.hold("brest-1", "lorient-1", WORKSPACE, "long", 9_000)
+        held = await cluster.hold("brest-1", "lorient-1", WORKSPACE, "long", 9_000)
         self.assertFalse(held)
-        held = await bank.hold("brest-1", "lorient-1", WORKSPACE, "half", 6_000)
+        held = await cluster.hold("brest-1", "lorient-1", WORKSPACE, "half", 6_000)
         self.assertTrue(held)
         for number in range(6):
             name = f"short-{number}"
-            held = await bank.hold("brest-1", "lorient-1", WORKSPACE, name, 1_000)
+            held = await cluster.hold("brest-1", "lorient-1", WORKSPACE, name, 1_000)
             self.assertTrue(held, number)
 
     async def test_stock_serves_through_an_outage(self) -> None:
-        """Cut the home from the store while callers go on.
+        """Take the store down while callers continue.
 
-        The home has seen 10,000 tokens a second for 5 s and drawn ahead. Then the
-        store is down for 6 s. Each caller is still served, for the stock covers
-        eight seconds of the demand and is filled up once it falls to 85%.
+        The home has had a demand of 10,000 tokens per second for 5 s and has drawn
+        its stock. Then the store is down for 6 s. Each caller still gets tokens,
+        because the stock covers the demand of an outage.
         """
-        bank = Bank(prepaid=2_000_000, home="brest-1")
-        bank.start("lorient-1")
-        home = bank.start("brest-1")
+        cluster = EscrowCluster(prepaid=2_000_000, home="brest-1")
+        cluster.start("lorient-1")
+        home = cluster.start("brest-1")
         for number in range(110):
-            bank.meet_all()
+            cluster.update_all_peers()
             if number == 50:
-                await home._tick()
+                await home._check_stocks()
                 await home._draws[WORKSPACE]
-                bank.store.down = True
-            bank.timer.time += 0.1
-            held = await bank.hold(
+                cluster.store.down = True
+            cluster.timer.time += 0.1
+            held = await cluster.hold(
                 "brest-1", "lorient-1", WORKSPACE, f"request-{number}", 1_000
             )
             self.assertTrue(held, number)
 
-    async def test_returned_tokens_are_not_held_meanwhile(self) -> None:
-        """Lose the answer to a return of tokens, then ask for tokens.
+    async def test_tokens_of_an_unconfirmed_return_are_not_held(self) -> None:
+        """Lose the reply to a return of tokens, then request tokens.
 
-        The write is on its way and may land at any time, upon which another host
-        can draw the same tokens. So a request that asks for them now is refused.
+        The write is delayed and may be stored at any time; then another host can
+        draw the same tokens. A request for them is therefore refused until then.
         """
-        bank = Bank(prepaid=10_000, home="brest-1")
-        bank.start("lorient-1")
-        home = bank.start("brest-1")
+        cluster = EscrowCluster(prepaid=10_000, home="brest-1")
+        cluster.start("lorient-1")
+        home = cluster.start("brest-1")
         self.assertTrue(
-            await bank.hold("brest-1", "lorient-1", WORKSPACE, "first", 10_000)
+            await cluster.hold("brest-1", "lorient-1", WORKSPACE, "first", 10_000)
         )
-        bank.settle("first", 1_000)
-        bank.store.late_share = 1.0
+        cluster.settle("first", 1_000)
+        cluster.store.late_share = 1.0
         await home.return_all()
         self.assertFalse(
-            await bank.hold("brest-1", "lorient-1", WORKSPACE, "second", 5_000)
+            await cluster.hold("brest-1", "lorient-1", WORKSPACE, "second", 5_000)
         )
-        bank.store.land()
-        bank.store.late_share = 0.0
-        bank.start("quimper-1")
+        cluster.store.land()
+        cluster.store.late_share = 0.0
+        cluster.start("quimper-1")
         self.assertTrue(
-            await bank.hold("quimper-1", "lorient-1", WORKSPACE, "third", 8_000)
+            await cluster.hold("quimper-1", "lorient-1", WORKSPACE, "third", 8_000)
         )
 
     async def test_unread_account_is_not_overwritten(self) -> None:
-        """Let a host first meet an account after it has written another one's.
+        """Draw on an account that the host has not read, after writing another one.
 
-        Both lie in one partition. Were the second taken for empty, the write would
-        drop what another host has drawn, and its tokens would be spent twice.
+        Both are in one partition. If the host took the unread account for empty, its
+        write would drop the draw of another host, and the tokens would be spent twice.
         """
-        bank = Bank(prepaid=10_000)
-        bank.start("lorient-1")
-        bank.start("brest-1")
-        bank.start("quimper-1")
-        self.assertTrue(await bank.hold("brest-1", "lorient-1", WORKSPACE, "a", 9_000))
+        cluster = EscrowCluster(prepaid=10_000)
+        cluster.start("lorient-1")
+        cluster.start("brest-1")
+        cluster.start("quimper-1")
         self.assertTrue(
-            await bank.hold("quimper-1", "lorient-1", OTHER_WORKSPACE, "b", 1_000)
+            await cluster.hold("brest-1", "lorient-1", WORKSPACE, "a", 9_000)
+        )
+        self.assertTrue(
+            await cluster.hold("quimper-1", "lorient-1", OTHER_WORKSPACE, "b", 1_000)
         )
         self.assertFalse(
-            await bank.hold("quimper-1", "lorient-1", WORKSPACE, "c", 9_000)
+            await cluster.hold("quimper-1", "lorient-1", WORKSPACE, "c", 9_000)
         )
 
-    async def test_lowered_budget_binds_at_once(self) -> None:
-        """Lower the prepaid tokens below what is drawn; nothing more is held."""
-        bank = Bank(prepaid=100_000, home="brest-1")
-        bank.start("lorient-1")
-        home = bank.start("brest-1")
-        self.assertTrue(await bank.hold("brest-1", "lorient-1", WORKSPACE, "a", 10_000))
-        await home._tick()
-        bank.boards["brest-1"].configuration = make_configuration(10_000, version=2)
-        self.assertFalse(await bank.hold("brest-1", "lorient-1", WORKSPACE, "b", 1_000))
+    async def test_lowered_budget_applies_immediately(self) -> None:
+        """Lower the prepaid tokens below what is drawn; further holds are refused."""
+        cluster = EscrowCluster(prepaid=100_000, home="brest-1")
+        cluster.start("lorient-1")
+        home = cluster.start("brest-1")
+        self.assertTrue(
+            await cluster.hold("brest-1", "lorient-1", WORKSPACE, "a", 10_000)
+        )
+        await home._check_stocks()
+        cluster.boards["brest-1"].configuration = make_configuration(10_000, version=2)
+        self.assertFalse(
+            await cluster.hold("brest-1", "lorient-1", WORKSPACE, "b", 1_000)
+        )
 
     async def test_top_up_is_used(self) -> None:
-        """Raise the prepaid tokens of a spent budget; the next request is served."""
-        bank = Bank(prepaid=10_000, home="brest-1")
-        bank.start("lorient-1")
-        bank.start("brest-1")
-        self.assertTrue(await bank.hold("brest-1", "lorient-1", WORKSPACE, "a", 10_000))
-        self.assertFalse(await bank.hold("brest-1", "lorient-1", WORKSPACE, "b", 1_000))
-        bank.boards["brest-1"].configuration = make_configuration(20_000, version=2)
-        bank.timer.time += 1.0
-        self.assertTrue(await bank.hold("brest-1", "lorient-1", WORKSPACE, "c", 1_000))
+        """Raise the prepaid tokens of an exhausted budget; the next hold is granted."""
+        cluster = EscrowCluster(prepaid=10_000, home="brest-1")
+        cluster.start("lorient-1")
+        cluster.start("brest-1")
+        self.assertTrue(
+            await cluster.hold("brest-1", "lorient-1", WORKSPACE, "a", 10_000)
+        )
+        self.assertFalse(
+            await cluster.hold("brest-1", "lorient-1", WORKSPACE, "b", 1_000)
+        )
+        cluster.boards["brest-1"].configuration = make_configuration(20_000, version=2)
+        cluster.timer.time += 1.0
+        self.assertTrue(
+            await cluster.hold("brest-1", "lorient-1", WORKSPACE, "c", 1_000)
+        )
 
-    async def test_settlement_may_overtake_its_hold(self) -> None:
-        """Give up a hold whose message is slow; it must not stay held for ever."""
-        bank = Bank(prepaid=10_000, home="brest-1")
-        bank.start("lorient-1")
-        home = bank.start("brest-1")
-        self.assertTrue(await bank.hold("brest-1", "lorient-1", WORKSPACE, "a", 1_000))
+    async def test_settlement_may_arrive_before_its_hold(self) -> None:
+        """Settle a hold whose message is delayed; it must not be held permanently."""
+        cluster = EscrowCluster(prepaid=10_000, home="brest-1")
+        cluster.start("lorient-1")
+        home = cluster.start("brest-1")
+        self.assertTrue(
+            await cluster.hold("brest-1", "lorient-1", WORKSPACE, "a", 1_000)
+        )
         account = home.list_accounts()[0]
         account.settle("late", 0)
-        requester = bank.boards["lorient-1"].incarnation
+        requester = cluster.boards["lorient-1"].incarnation
         self.assertFalse(account.hold("late", 1_000, requester, 0.0))
 
-    async def test_late_draw_cannot_land_on_another(self) -> None:
-        """Lose a draw on its way, draw elsewhere, then let the lost one land.
+    async def test_delayed_draw_cannot_overwrite_another(self) -> None:
+        """Delay a draw, draw at another host, then let the delayed write arrive.
 
-        The late record knows nothing of the other host's draw and would take its
-        place; a third host would then draw the same tokens again.
+        The delayed record lacks the other host's draw and would overwrite it; the
+        same tokens would then be drawn again.
         """
-        bank = Bank(prepaid=10_000)
-        bank.start("lorient-1")
-        bank.start("quimper-1")
-        bank.start("brest-1")
-        bank.meet_all()
-        bank.store.late_share = 1.0
-        held = await bank.hold("quimper-1", "lorient-1", WORKSPACE, "a", 1_000)
+        cluster = EscrowCluster(prepaid=10_000)
+        cluster.start("lorient-1")
+        cluster.start("quimper-1")
+        cluster.start("brest-1")
+        cluster.update_all_peers()
+        cluster.store.late_share = 1.0
+        held = await cluster.hold("quimper-1", "lorient-1", WORKSPACE, "a", 1_000)
         self.assertFalse(held)
-        bank.store.late_share = 0.0
-        held = await bank.hold("brest-1", "lorient-1", WORKSPACE, "b", 9_000)
+        cluster.store.late_share = 0.0
+        held = await cluster.hold("brest-1", "lorient-1", WORKSPACE, "b", 9_000)
         self.assertTrue(held)
-        bank.store.land()
-        bank.timer.time += 1.0
-        held = await bank.hold("quimper-1", "lorient-1", WORKSPACE, "c", 9_000)
+        cluster.store.land()
+        cluster.timer.time += 1.0
+        held = await cluster.hold("quimper-1", "lorient-1", WORKSPACE, "c", 9_000)
         self.assertFalse(held)
 
-    async def test_silent_store_refuses_at_once(self) -> None:
-        """Ask a home without stock while the store is known to be out of reach."""
-        bank = Bank(prepaid=10_000)
-        bank.start("lorient-1")
-        home = bank.start("brest-1")
-        bank.store.down = True
-        bank.boards["brest-1"].store.out_of_reach = True
+    async def test_hold_is_refused_immediately_without_the_store(self) -> None:
+        """Request a hold from a home without stock while the store is out of reach."""
+        cluster = EscrowCluster(prepaid=10_000)
+        cluster.start("lorient-1")
+        home = cluster.start("brest-1")
+        cluster.store.down = True
+        cluster.boards["brest-1"].store.out_of_reach = True
         refused = await home.hold(WORKSPACE, "a", 1_000, "lorient-1-1")
         self.assertIs(refused, Reason.BUDGET_UNCONFIRMED)
 
