--- a/bench/trials/budget_ways.py
+++ b/bench/trials/budget_ways.py
@@ -14,7 +14,7 @@
     HomeRank,
     StockState,
     StockTarget,
-    get_target,
+    compute_target_stock,
 )
 
 PREPAID = 950_000
@@ -97,7 +97,7 @@
         """Return what nobody has drawn."""
         return PREPAID - self.drawn
 
-    def get_target(self) -> StockTarget:
+    def compute_target(self) -> StockTarget:
         """Return the stock that a host wants."""
         left = self.free + sum(self._stocks)
         demand = REQUESTS_PER_S * MEAN_TOKENS
@@ -109,10 +109,10 @@
             free=self.free,
             unused=self._stocks[0],
             locked=self._locked,
-            waiting=0,
-            demand=demand,
+            waiting_tokens=0,
+            demand_per_s=demand,
         )
-        return get_target(state, HomeRank.FIRST)
+        return compute_target_stock(state, HomeRank.FIRST)
 
     def serve(self, host: int, tokens: int, now: float) -> bool:
         """Take tokens for a request of a host, if there are any."""
@@ -129,7 +129,7 @@
         return True
 
     def _fill(self, number: int, tokens: int) -> None:
-        target = self.get_target()
+        target = self.compute_target()
         wanted = tokens + target.ready + target.locked
         drawn = min(self.free, max(0, wanted - self._stocks[number]))
         self._stocks[number] += drawn
--- a/tests/components/escrow/common.py
+++ b/tests/components/escrow/common.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from standins.keyed_store import KeyedStore
-from trefoilstage.components.escrow.grants import GrantBook
+from trefoilstage.components.escrow.grants import GrantRegistry
 from trefoilstage.components.escrow.home import EscrowHome
 from trefoilstage.components.escrow.lock import ReserveLock
 from trefoilstage.components.escrow.lock_keeper import LockKeeper
@@ -68,7 +68,7 @@
     timer: ManualTimer = field(default_factory=ManualTimer)
     homes: dict[str, EscrowHome] = field(default_factory=dict)
     boards: dict[str, FleetBoard] = field(default_factory=dict)
-    books: dict[str, GrantBook] = field(default_factory=dict)
+    grants: dict[str, GrantRegistry] = field(default_factory=dict)
     recoveries: dict[str, EscrowRecovery] = field(default_factory=dict)
     keepers: dict[str, LockKeeper] = field(default_factory=dict)
     boot: str = "boot-1"
@@ -91,11 +91,11 @@
             phase=Phase.SERVING,
             configuration=make_configuration(self.prepaid),
         )
-        book = GrantBook()
+        grants = GrantRegistry()
         recovery = EscrowRecovery(
             board=board,
             timer=self.timer,
-            book=book,
+            grants=grants,
             ask_seal=self.ask_seal,
             confirm=self.confirmed.append,
         )
@@ -106,7 +106,7 @@
             server=PeerServer(address="127.0.0.1", port=0, codec=FLEET_CODEC),
             timer=self.timer,
             n_partitions=1,
-            rank_home=lambda workspace: (
+            get_own_rank=lambda workspace: (
                 HomeRank.FIRST if self.home == host else HomeRank.NONE
             ),
             recovery=recovery,
@@ -119,11 +119,11 @@
             lock=lock,
             start=ProcessStart(boot=self.boot, at=self.timer.time, offset=0.0),
             has_locked=home.has_locked,
-            has_touched=home.has_touched_lock,
+            has_used_locked=home.has_used_locked,
         )
         self.homes[host] = home
         self.boards[host] = board
-        self.books[host] = book
+        self.grants[host] = grants
         self.recoveries[host] = recovery
         # The host's running requests have ended, and grants in flight to it are lost.
         self.running = {
@@ -212,8 +212,8 @@
     def deliver(self, grant: Grant) -> bool:
         """Deliver a grant; its request runs and counts as spending it in full."""
         self.in_flight.remove(grant)
-        book = self.books[grant.requester]
-        if not book.accept(grant.incarnation, grant.workspace, grant.tokens):
+        grants = self.grants[grant.requester]
+        if not grants.accept(grant.incarnation, grant.workspace, grant.tokens):
             return False
         workspace = grant.workspace
         self.spent[workspace] = self.spent.get(workspace, 0) + grant.tokens
@@ -235,8 +235,8 @@
         """End a running request and settle its hold with what it spent."""
         grant = self.running.pop(request)
         self.spent[grant.workspace] -= grant.tokens - spent
-        book = self.books[grant.requester]
-        book.settle(grant.incarnation, grant.workspace, grant.tokens, spent)
+        grants = self.grants[grant.requester]
+        grants.settle(grant.incarnation, grant.workspace, grant.tokens, spent)
         if self.boards[grant.home].incarnation == grant.incarnation:
             item = SettledHold(workspace=grant.workspace, request=request, spent=spent)
             self.homes[grant.home].settle((item,))
--- a/tests/components/escrow/test_failed_homes.py
+++ b/tests/components/escrow/test_failed_homes.py
@@ -7,8 +7,8 @@
 from tests.components.boards import make_board
 from tests.components.escrow.common import WORKSPACE, ManualTimer, make_configuration
 from trefoilstage.components.escrow.client import EscrowClient
-from trefoilstage.components.escrow.grants import GrantBook
-from trefoilstage.components.escrow.patience import Patience
+from trefoilstage.components.escrow.grants import GrantRegistry
+from trefoilstage.components.escrow.wait_limits import WaitLimits
 from trefoilstage.components.peers.round_trips import N_CALLS
 from trefoilstage.exceptions import PeerUnavailableError
 from trefoilstage.fleet_board import FleetBoard
@@ -35,12 +35,12 @@
             home=mock.Mock(),
             links=links,
             timer=ManualTimer(),
-            book=GrantBook(),
+            grants=GrantRegistry(),
             ranking=ranking,
             generator=random.Random(1),
         )
-        patience = Patience.start(now=0.0, silence_s=0.0, deadline=0.0)
-        await client.hold(WORKSPACE, "r-1", 10, patience)
+        wait_limits = WaitLimits.compute(now=0.0, max_silence_s=0.0, deadline=0.0)
+        await client.hold(WORKSPACE, "r-1", 10, wait_limits)
         return board
 
     async def test_home_that_does_not_reply_is_marked_failed(self) -> None:
--- a/tests/components/escrow/test_home.py
+++ b/tests/components/escrow/test_home.py
@@ -21,7 +21,7 @@
     "settle": 8,
     "restart": 2,
     "heartbeat": 10,
-    "return_all": 2,
+    "return_unused": 2,
     "recover": 3,
     "change_home": 1,
     "change_faults": 2,
@@ -72,8 +72,8 @@
         if action == "hold":
             tokens = generator.randrange(1, 9_000)
             await cluster.request_grant(host, other, workspace, request, tokens)
-        elif action == "return_all":
-            await cluster.homes[host].return_all()
+        elif action == "return_unused":
+            await cluster.homes[host].return_unused()
         elif action == "recover":
             await cluster.recover(host, workspace)
         elif action == "run_lock_keeper":
@@ -201,7 +201,7 @@
         )
         cluster.settle("first", 1_000)
         cluster.store.late_share = 1.0
-        await home.return_all()
+        await home.return_unused()
         self.assertFalse(
             await cluster.hold("brest-1", "lorient-1", WORKSPACE, "second", 5_000)
         )
--- a/tests/components/escrow/test_lock.py
+++ b/tests/components/escrow/test_lock.py
@@ -268,7 +268,7 @@
         )
         cluster.settle("a", 1_000)
         cluster.store.lose_share = 1.0
-        await home.return_all()
+        await home.return_unused()
         cluster.store.lose_share = 0.0
         account = home._accounts[WORKSPACE]
         # Reset the home's end offset to the one before the return.
--- a/tests/components/escrow/test_client.py
+++ b/tests/components/escrow/test_retry_after.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from trefoilstage.components.escrow.returns import (
+from trefoilstage.components.escrow.retry_after import (
     estimate_store_return,
     make_refusal,
 )
--- a/tests/components/escrow/test_stock.py
+++ b/tests/components/escrow/test_stock.py
@@ -5,7 +5,7 @@
 from trefoilstage.components.escrow.stock import (
     HomeRank,
     StockState,
-    get_target,
+    compute_target_stock,
     plan_change,
 )
 
@@ -25,8 +25,8 @@
         free=free,
         unused=unused,
         locked=locked,
-        waiting=waiting,
-        demand=demand,
+        waiting_tokens=waiting,
+        demand_per_s=demand,
     )
 
 
@@ -42,22 +42,23 @@
         for demand in (0.0, 1_000.0, 27_000.0, 1_000_000.0):
             state = make_state(free=333_000, demand=demand)
             targets = [
-                get_target(state, rank) for rank in (HomeRank.FIRST, HomeRank.SECOND)
+                compute_target_stock(state, rank)
+                for rank in (HomeRank.FIRST, HomeRank.SECOND)
             ]
             self.assertLessEqual(sum(item.ready for item in targets), 20_000)
             self.assertEqual(sum(item.locked for item in targets), 0)
 
     def test_full_budget_covers_an_outage(self) -> None:
         """Plan for 27,000 tokens per second with 900,000 left; the stock covers 7 s."""
-        target = get_target(make_state(free=900_000), HomeRank.FIRST)
+        target = compute_target_stock(make_state(free=900_000), HomeRank.FIRST)
         self.assertGreaterEqual(target.ready + target.locked, 7 * 27_000)
 
     def test_fallback_home_locks_nothing(self) -> None:
-        self.assertEqual(get_target(make_state(), HomeRank.NONE).locked, 0)
+        self.assertEqual(compute_target_stock(make_state(), HomeRank.NONE).locked, 0)
 
     def test_stock_at_its_target_is_not_changed(self) -> None:
         state = make_state()
-        target = get_target(state, HomeRank.FIRST)
+        target = compute_target_stock(state, HomeRank.FIRST)
         full = make_state(
             free=800_000 - target.ready - target.locked,
             unused=target.ready + target.locked,
--- a/tests/components/escrow/test_patience.py
+++ b/tests/components/escrow/test_wait_limits.py
@@ -2,18 +2,20 @@
 
 import unittest
 
-from trefoilstage.components.escrow.patience import Patience
+from trefoilstage.components.escrow.wait_limits import WaitLimits
 
 
-class PatienceTest(unittest.TestCase):
+class WaitLimitsTest(unittest.TestCase):
     """Test a request that finds no tokens while the store is out of reach."""
 
     def plan_wait(
         self, *, deadline_s: float, store_return_s: float, lock_wait_s: float = 0.0
     ) -> float | None:
         """Return the wait of a request that has just arrived, None if refused."""
-        patience = Patience.start(now=0.0, silence_s=3.2, deadline=deadline_s)
-        return patience.plan_wait(
+        wait_limits = WaitLimits.compute(
+            now=0.0, max_silence_s=3.2, deadline=deadline_s
+        )
+        return wait_limits.plan_wait(
             0.0, lock_wait_s=lock_wait_s, store_return_s=store_return_s
         )
 
@@ -45,8 +47,10 @@
 
     def test_wait_ends_before_the_caller_gives_up(self) -> None:
         """Refuse a request in an outage that lasts longer than the wait."""
-        patience = Patience.start(now=0.0, silence_s=3.2, deadline=15.0)
-        self.assertIsNone(patience.plan_wait(2.0, lock_wait_s=0.0, store_return_s=1.0))
+        wait_limits = WaitLimits.compute(now=0.0, max_silence_s=3.2, deadline=15.0)
+        self.assertIsNone(
+            wait_limits.plan_wait(2.0, lock_wait_s=0.0, store_return_s=1.0)
+        )
 
 
 if __name__ == "__main__":
--- a/trefoilstage/components/escrow/account.py
+++ b/trefoilstage/components/escrow/account.py
@@ -207,8 +207,8 @@
             free=self.free,
             unused=self.unused,
             locked=self.locked,
-            waiting=self.waiting,
-            demand=self.demand.estimate(now),
+            waiting_tokens=self.waiting,
+            demand_per_s=self.demand.estimate(now),
         )
         return plan_change(state, rank)
 
--- a/trefoilstage/components/escrow/client.py
+++ b/trefoilstage/components/escrow/client.py
@@ -8,7 +8,7 @@
 
 from mode import Service
 
-from trefoilstage.components.escrow.grants import GrantBook
+from trefoilstage.components.escrow.grants import GrantRegistry
 from trefoilstage.components.escrow.home import EscrowHome
 from trefoilstage.components.escrow.messages import (
     HoldReply,
@@ -16,13 +16,13 @@
     SettledHold,
     SettleHolds,
 )
-from trefoilstage.components.escrow.patience import Patience
 from trefoilstage.components.escrow.ranking import HomeRanking
-from trefoilstage.components.escrow.returns import (
+from trefoilstage.components.escrow.retry_after import (
     add_retry_jitter,
     estimate_store_return,
     make_refusal,
 )
+from trefoilstage.components.escrow.wait_limits import WaitLimits
 from trefoilstage.components.fleet.membership import FleetMembership
 from trefoilstage.components.peers.links import PeerLinks
 from trefoilstage.exceptions import PeerUnavailableError
@@ -73,14 +73,14 @@
         home: EscrowHome,
         links: PeerLinks,
         timer: TimerService,
-        book: GrantBook,
+        grants: GrantRegistry,
         ranking: HomeRanking,
         generator: random.Random,
     ) -> None:
         super().__init__()
         self._ranking = ranking
         self._generator = generator
-        self._book = book
+        self._grants = grants
         self._board = board
         self._membership = membership
         self._home = home
@@ -99,7 +99,7 @@
         self._unsubscribe()
 
     async def hold(
-        self, workspace: str, request: str, tokens: int, patience: Patience
+        self, workspace: str, request: str, tokens: int, wait_limits: WaitLimits
     ) -> Hold | Refusal:
         """Return a hold for a request, or its refusal.
 
@@ -116,9 +116,9 @@
             )
             if isinstance(answer, Hold):
                 return answer
-            wait_s = self._plan_wait(answer, patience)
+            wait_s = self._plan_wait(answer, wait_limits)
             if wait_s is None:
-                return self._refuse(answer, patience)
+                return self._refuse(answer, wait_limits)
             await asyncio.sleep(wait_s)
         raise AssertionError("unreachable")
 
@@ -136,20 +136,22 @@
             first_refusal = first_refusal or answer
         return first_refusal or HoldRefused(reason=Reason.BUDGET_UNCONFIRMED)
 
-    def _plan_wait(self, refusal: HoldRefused, patience: Patience) -> float | None:
+    def _plan_wait(self, refusal: HoldRefused, wait_limits: WaitLimits) -> float | None:
         if refusal.reason is not Reason.BUDGET_UNCONFIRMED:
             return None
         now = self._timer.now()
-        return patience.plan_wait(
+        return wait_limits.plan_wait(
             now,
             lock_wait_s=refusal.lock_wait_s,
             store_return_s=estimate_store_return(self._board.store.get_silence(now)),
         )
 
-    def _refuse(self, refusal: HoldRefused, patience: Patience) -> Refusal:
+    def _refuse(self, refusal: HoldRefused, wait_limits: WaitLimits) -> Refusal:
         now = self._timer.now()
         retry_after_s = estimate_store_return(self._board.store.get_silence(now))
-        retry_after_s = add_retry_jitter(retry_after_s, patience, now, self._generator)
+        retry_after_s = add_retry_jitter(
+            retry_after_s, wait_limits, now, self._generator
+        )
         return make_refusal(refusal.reason, retry_after_s)
 
     def settle(self, hold: Hold, spent: int) -> None:
@@ -157,7 +159,7 @@
         if not hold.home:
             return
         spent = min(spent, hold.tokens)
-        self._book.settle(hold.incarnation, hold.workspace, hold.tokens, spent)
+        self._grants.settle(hold.incarnation, hold.workspace, hold.tokens, spent)
         item = SettledHold(
             workspace=hold.workspace,
             request=hold.request,
@@ -199,7 +201,7 @@
             refusal = await self._hold_at_peer(peer, message)
         if refusal is not None:
             return refusal
-        if not self._book.accept(incarnation, workspace, tokens):
+        if not self._grants.accept(incarnation, workspace, tokens):
             # The home was sealed while its reply was in flight.
             return UNCONFIRMED
         return Hold(
--- a/trefoilstage/components/escrow/grants.py
+++ b/trefoilstage/components/escrow/grants.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class GrantBook:
+class GrantRegistry:
     """Witness the grants of homes, and refuse the grants of sealed homes.
 
     Only the home itself knows how many of its drawn tokens it has not granted. After
--- a/trefoilstage/components/escrow/home.py
+++ b/trefoilstage/components/escrow/home.py
@@ -52,7 +52,7 @@
 # Between attempts to recover an ended home's tokens; a witness may be out of reach.
 RECOVERY_RETRY_INTERVAL_S = 0.5
 
-RankHome = Callable[[str], HomeRank]
+GetOwnRank = Callable[[str], HomeRank]
 
 
 class EscrowHome(Service):
@@ -66,14 +66,14 @@
         server: PeerServer,
         timer: TimerService,
         n_partitions: int,
-        rank_home: RankHome,
+        get_own_rank: GetOwnRank,
         recovery: EscrowRecovery,
         lock: ReserveLock,
     ) -> None:
         super().__init__()
         self._board = board
         self._timer = timer
-        self._rank_home = rank_home
+        self._get_own_rank = get_own_rank
         self._recovery = recovery
         self._lock = lock
         self._accounts: dict[str, EscrowAccount] = {}
@@ -142,7 +142,7 @@
             if account is not None:
                 account.settle(item.request, item.spent)
 
-    async def return_all(self) -> None:
+    async def return_unused(self) -> None:
         """Return all unused tokens to the accounts, as this host shuts down."""
         for workspace, account in self._accounts.items():
             draw = self._draws.get(workspace)
@@ -159,7 +159,7 @@
         """Return whether the store may have tokens of this host as locked."""
         return any(account.locked > 0 for account in self._accounts.values())
 
-    def has_touched_lock(self) -> bool:
+    def has_used_locked(self) -> bool:
         """Return whether tokens are in use that the store may have as locked."""
         return any(account.has_used_locked for account in self._accounts.values())
 
@@ -281,7 +281,7 @@
 
     async def _draw(self, workspace: str) -> None:
         def plan(account: EscrowAccount) -> StockChange | None:
-            return account.plan_change(self._timer.now(), self._rank_home(workspace))
+            return account.plan_change(self._timer.now(), self._get_own_rank(workspace))
 
         await self._change_stock(workspace, plan)
 
@@ -325,7 +325,7 @@
         """
         now = self._timer.now()
         is_open = self._lock.is_open(now)
-        if change.locked > 0 and is_open and not self.has_touched_lock():
+        if change.locked > 0 and is_open and not self.has_used_locked():
             self._lock.promise(now)
 
     def _record_store_failure(
@@ -338,7 +338,7 @@
         log_event(Event.ESCROW_DRAW_FAILED, workspace=workspace, error=str(error))
 
     def _must_update_roster(self, account: EscrowAccount) -> bool:
-        rank = self._rank_home(account.workspace)
+        rank = self._get_own_rank(account.workspace)
         may_grant = account.waiting > 0 or rank is not HomeRank.NONE
         return may_grant and self._has_unlisted_requester(account)
 
@@ -365,7 +365,7 @@
             return
         now = self._timer.now()
         for workspace in configuration.workspaces:
-            rank = self._rank_home(workspace)
+            rank = self._get_own_rank(workspace)
             is_home = rank is not HomeRank.NONE
             account = self._get_account(workspace) if is_home else None
             # Stock is returned when this host is no longer the home.
--- a/trefoilstage/components/escrow/lock_keeper.py
+++ b/trefoilstage/components/escrow/lock_keeper.py
@@ -34,7 +34,7 @@
         lock: ReserveLock,
         start: ProcessStart,
         has_locked: Callable[[], bool],
-        has_touched: Callable[[], bool],
+        has_used_locked: Callable[[], bool],
     ) -> None:
         super().__init__()
         self._board = board
@@ -43,7 +43,7 @@
         self._lock = lock
         self._process_start = start
         self._has_locked = has_locked
-        self._has_touched = has_touched
+        self._has_used_locked = has_used_locked
         self._passed_on = False  # whether the proofs about predecessors are stored
         self._failed_at = float("-inf")
         self._renewing = False
@@ -121,7 +121,7 @@
         store = self._board.store
         if store.out_of_reach or store.last_answer <= self._failed_at:
             return False
-        return not self._has_touched()
+        return not self._has_used_locked()
 
     async def _write_promise(self) -> None:
         record = LockRecord(
--- a/trefoilstage/components/escrow/ranking.py
+++ b/trefoilstage/components/escrow/ranking.py
@@ -24,7 +24,7 @@
         self._board = board
         self._membership = membership
 
-    def rank_here(self, workspace: str) -> HomeRank:
+    def get_own_rank(self, workspace: str) -> HomeRank:
         """Return this host's rank for a workspace, by the hosts it knows to be live."""
         if self._board.phase is not Phase.SERVING:
             return HomeRank.NONE
--- a/trefoilstage/components/escrow/recovery.py
+++ b/trefoilstage/components/escrow/recovery.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable, Mapping
 from dataclasses import dataclass
 
-from trefoilstage.components.escrow.grants import GrantBook
+from trefoilstage.components.escrow.grants import GrantRegistry
 from trefoilstage.components.escrow.messages import SealHome, SealReply
 from trefoilstage.components.escrow.record import Holder, HolderUsage
 from trefoilstage.fleet_board import FleetBoard
@@ -36,13 +36,13 @@
         *,
         board: FleetBoard,
         timer: TimerService,
-        book: GrantBook,
+        grants: GrantRegistry,
         ask_seal: AskSeal,
         confirm: Confirm,
     ) -> None:
         self._board = board
         self._timer = timer
-        self._book = book
+        self._grants = grants
         self._ask_seal = ask_seal
         self._confirm = confirm
         self._grants_to_self = False
@@ -132,5 +132,5 @@
 
     def seal(self, message: SealHome) -> SealReply:
         """Refuse an incarnation's later grants; reply with what was used of them."""
-        used = self._book.seal(message.incarnation)
+        used = self._grants.seal(message.incarnation)
         return SealReply(incarnation=self._board.incarnation, used=used)
--- a/trefoilstage/components/escrow/returns.py
+++ b/trefoilstage/components/escrow/retry_after.py
@@ -2,7 +2,7 @@
 
 import random
 
-from trefoilstage.components.escrow.patience import Patience
+from trefoilstage.components.escrow.wait_limits import WaitLimits
 from trefoilstage.helpers.verdict import Reason, Refusal
 
 # No tokens are left to draw. Only a higher balance or tokens returned by another host
@@ -28,10 +28,10 @@
 
 
 def add_retry_jitter(
-    retry_after_s: float, patience: Patience, now: float, generator: random.Random
+    retry_after_s: float, wait_limits: WaitLimits, now: float, generator: random.Random
 ) -> float:
     """Add random jitter to a retry time, as far as the caller still retries."""
-    max_jitter_s = max(0.0, patience.get_max_retry_s(now) - retry_after_s)
+    max_jitter_s = max(0.0, wait_limits.get_max_retry_s(now) - retry_after_s)
     return retry_after_s + generator.uniform(0.0, min(MAX_RETRY_JITTER_S, max_jitter_s))
 
 
--- a/trefoilstage/components/escrow/stock.py
+++ b/trefoilstage/components/escrow/stock.py
@@ -90,8 +90,8 @@
     free: int  # not drawn by any host
     unused: int  # drawn by this home, neither spent nor held
     locked: int  # the part of `unused` that the store has as locked
-    waiting: int  # tokens that waiting requests need
-    demand: float  # tokens per second
+    waiting_tokens: int  # tokens that waiting requests need
+    demand_per_s: float  # tokens per second
 
     @property
     def ready(self) -> int:
@@ -115,13 +115,13 @@
     locked: int
 
 
-def get_target(state: StockState, rank: HomeRank) -> StockTarget:
+def compute_target_stock(state: StockState, rank: HomeRank) -> StockTarget:
     """Return the stock that a home should have."""
     left = state.free + max(0, state.unused)
     left_share = min(1.0, left / max(1, state.prepaid))
     horizon_s = FALLBACK_HORIZON_S if rank is HomeRank.NONE else SUPPLY_HORIZON_S
     min_wanted = INITIAL_SHARES[rank] * state.prepaid
-    wanted = max(min_wanted, state.demand * horizon_s)
+    wanted = max(min_wanted, state.demand_per_s * horizon_s)
     ready = min(wanted, READY_SHARES[rank] * left_share * left)
     locked = 0.0
     if rank is not HomeRank.NONE:
@@ -132,16 +132,16 @@
 
 def plan_change(state: StockState, rank: HomeRank) -> StockChange | None:
     """Return the change of the stock that is due, None if it can stay as it is."""
-    target = get_target(state, rank)
-    if not state.waiting and not is_change_due(state, target):
+    target = compute_target_stock(state, rank)
+    if not state.waiting_tokens and not is_change_due(state, target):
         return None
-    wanted = state.waiting + target.ready + target.locked
+    wanted = state.waiting_tokens + target.ready + target.locked
     tokens = min(state.free, wanted - state.unused)
-    if state.waiting:
+    if state.waiting_tokens:
         tokens = max(0, tokens)
     unused = state.unused + tokens
     # When no tokens are free, waiting requests get locked ones.
-    locked = max(0, min(target.locked, unused - state.waiting - target.ready))
+    locked = max(0, min(target.locked, unused - state.waiting_tokens - target.ready))
     if tokens == 0 and locked == state.locked:
         return None
     return StockChange(tokens=tokens, locked=locked)
--- a/trefoilstage/components/escrow/patience.py
+++ b/trefoilstage/components/escrow/wait_limits.py
@@ -20,16 +20,18 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Patience:
+class WaitLimits:
     """Describe how long a request may wait for tokens, and its deadline."""
 
     wait_until: float
     deadline: float
 
     @classmethod
-    def start(cls, *, now: float, silence_s: float, deadline: float) -> "Patience":
-        """Return the limits for a caller that accepts `silence_s` without a reply."""
-        wait_until = now + WAIT_SHARE * min(silence_s, deadline - now)
+    def compute(
+        cls, *, now: float, max_silence_s: float, deadline: float
+    ) -> "WaitLimits":
+        """Return the limits for a caller that waits `max_silence_s` for a reply."""
+        wait_until = now + WAIT_SHARE * min(max_silence_s, deadline - now)
         return cls(wait_until=wait_until, deadline=deadline)
 
     def plan_wait(
--- a/trefoilstage/components/forwarding/pipeline.py
+++ b/trefoilstage/components/forwarding/pipeline.py
@@ -10,7 +10,7 @@
 
 from trefoilstage.components.crashes.watcher import CrashWatcher
 from trefoilstage.components.escrow.client import EscrowClient, Hold
-from trefoilstage.components.escrow.patience import Patience
+from trefoilstage.components.escrow.wait_limits import WaitLimits
 from trefoilstage.components.forwarding.border import ForwardOptions
 from trefoilstage.components.forwarding.models import (
     Route,
@@ -98,16 +98,16 @@
         run.candidates_queried_at = asyncio.get_running_loop().time()
 
     async def _hold_tokens(self, run: Run) -> Hold | Refusal:
-        patience = Patience.start(
+        wait_limits = WaitLimits.compute(
             now=run.started,
-            silence_s=run.route.silence_limit_s,
+            max_silence_s=run.route.silence_limit_s,
             deadline=run.deadline,
         )
         return await self._escrow.hold(
             run.workspace_name,
             self._make_hold_name(run),
             run.request.max_tokens,
-            patience,
+            wait_limits,
         )
 
     def _make_hold_name(self, run: Run) -> str:
--- a/trefoilstage/fleet_host.py
+++ b/trefoilstage/fleet_host.py
@@ -167,7 +167,7 @@
         self._board.phase = Phase.DRAINING
         self._membership.beat_soon()
         # Its successor as home draws at once; what lies here is missing there.
-        self.add_future(self._home.return_all())
+        self.add_future(self._home.return_unused())
         log_event(
             Event.HOST_DRAINING, host=self._board.host, active=self._server.n_active
         )
@@ -201,7 +201,7 @@
         try:
             async with asyncio.timeout(LEAVE_S):
                 await self._escrow.flush()
-                await self._home.return_all()
+                await self._home.return_unused()
                 await self._membership.withdraw()
         except TimeoutError:
             log_event(Event.LEAVE_INCOMPLETE, host=self._board.host)
--- a/trefoilstage/fleet_parts.py
+++ b/trefoilstage/fleet_parts.py
@@ -12,7 +12,7 @@
 from trefoilstage.components.crashes.recorder import CrashRecorder
 from trefoilstage.components.crashes.watcher import CrashWatcher
 from trefoilstage.components.escrow.client import EscrowClient
-from trefoilstage.components.escrow.grants import GrantBook
+from trefoilstage.components.escrow.grants import GrantRegistry
 from trefoilstage.components.escrow.home import EscrowHome
 from trefoilstage.components.escrow.lock import ReserveLock
 from trefoilstage.components.escrow.lock_keeper import LockKeeper
@@ -116,11 +116,11 @@
         generator=generator,
     )
     ranking = HomeRanking(board=board, membership=membership)
-    book = GrantBook()
+    grants = GrantRegistry()
     recovery = EscrowRecovery(
         board=board,
         timer=timer,
-        book=book,
+        grants=grants,
         ask_seal=membership.ask_seal,
         confirm=membership.confirm,
     )
@@ -132,7 +132,7 @@
         server=peers,
         timer=timer,
         n_partitions=settings.store_partitions,
-        rank_home=ranking.rank_here,
+        get_own_rank=ranking.get_own_rank,
         recovery=recovery,
         lock=lock,
     )
@@ -143,7 +143,7 @@
         lock=lock,
         start=process_start,
         has_locked=home.has_locked,
-        has_touched=home.has_touched_lock,
+        has_used_locked=home.has_used_locked,
     )
     escrow = EscrowClient(
         board=board,
@@ -151,7 +151,7 @@
         home=home,
         links=links,
         timer=timer,
-        book=book,
+        grants=grants,
         ranking=ranking,
         generator=generator,
     )
