--- a/bench/emulator/callers.py
+++ b/bench/emulator/callers.py
@@ -78,7 +78,7 @@
         """See the end of a stream."""
         self.complete = True
 
-    def set_whole(
+    def set_complete(
         self,
         status: int,
         headers: Sequence[tuple[str, str]],
@@ -114,7 +114,7 @@
             n_output = max(FEWEST_OUTPUT_TOKENS, self.draw_size(kind.output_tokens))
         self.outputs[name] = n_output
         return CallerRequest(
-            request=name,
+            request_id=name,
             method="POST",
             host="club.example",
             path=f"/{kind.name}/",
@@ -210,8 +210,8 @@
     ) -> float | None:
         left_s = deadline - asyncio.get_running_loop().time()
         if isinstance(result, HostLostError):
-            repeatable = self._kind.kind is RouteKind.IDEMPOTENT
-            return PAUSE_S if repeatable and left_s > PAUSE_S else None
+            is_retryable = self._kind.kind is RouteKind.IDEMPOTENT
+            return PAUSE_S if is_retryable and left_s > PAUSE_S else None
         if result.effect is not Effect.NOT_RUN or result.retry_after_s is None:
             return None
         return min(result.retry_after_s, left_s * COMEBACK_SHARE)
--- a/bench/emulator/host.py
+++ b/bench/emulator/host.py
@@ -18,7 +18,7 @@
     Workspace,
 )
 from trefoilstage.components.forwarding.reply import CallerReply
-from trefoilstage.components.forwarding.run import Run
+from trefoilstage.components.forwarding.request_state import RequestState
 from trefoilstage.components.peers.server import PeerServer
 from trefoilstage.exceptions import TrefoilstageError
 from trefoilstage.fleet_board import FleetBoard
@@ -167,16 +167,16 @@
         if parts is None:
             raise HostLostError("refused")
         now = asyncio.get_running_loop().time()
-        run = Run(
+        state = RequestState(
             request=request,
             # Each caller asks for something else; its repeats bear the same id.
-            body=request.request.encode(),
+            body=request.request_id.encode(),
             route=route,
             workspace=workspace,
-            started=now,
+            started_at=now,
             deadline=now + min(route.timeout_s, request.deadline_s or route.timeout_s),
         )
-        task: asyncio.Task[Any] = asyncio.create_task(parts.pipeline.run(run, reply))
+        task: asyncio.Task[Any] = asyncio.create_task(parts.pipeline.run(state, reply))
         self._requests.add(task)
         task.add_done_callback(self._requests.discard)
         try:
--- a/bench/emulator/sender.py
+++ b/bench/emulator/sender.py
@@ -8,25 +8,25 @@
 
 from bench.emulator.engine import EmulatedEngine, Generation
 from trefoilstage.components.crashes.probe import ProbeResult
-from trefoilstage.components.forwarding.border import AnswerHead, ForwardOptions
 from trefoilstage.components.forwarding.models import CallerRequest, TargetEntry
 from trefoilstage.components.forwarding.sender import (
     AnswerBrokenError,
-    Broken,
-    NotSent,
+    InvalidAnswer,
+    NotRun,
     OpenAnswer,
     TargetSender,
 )
+from trefoilstage.components.forwarding.translator import AnswerHead, ForwardOptions
 
 ONE_WAY_S = 0.0007
 HEAD = AnswerHead(
     status=200,
     not_run=False,
     misdirected=False,
-    signed=True,
-    own=True,
-    named=True,
-    encoded=False,
+    has_seal=True,
+    matches_request=True,
+    has_request_id=True,
+    is_encoded=False,
     closing=False,
 )
 
@@ -123,24 +123,24 @@
         body: bytes,
         target: TargetEntry,
         options: ForwardOptions,
-    ) -> OpenAnswer | NotSent | Broken:
+    ) -> OpenAnswer | NotRun | InvalidAnswer:
         """Return a target's answer, or whether it can have run the request."""
         found = self._find_target(target.name)
         await asyncio.sleep(ONE_WAY_S)
         if found is None or found.down or found.started_ms != target.started_ms:
-            return NotSent(reason="refused")
+            return NotRun(reason="refused")
         if isinstance(found, EmulatedEngine):
             return await self._generate(found, request, options)
         await found.serve()
         if found.down:
-            return Broken(reason="reset")
+            return InvalidAnswer(reason="reset")
         return WholeAnswer(head=HEAD, headers=[], response=cast(Any, None))
 
     async def _generate(
         self, engine: EmulatedEngine, request: CallerRequest, options: ForwardOptions
-    ) -> OpenAnswer | Broken:
+    ) -> OpenAnswer | InvalidAnswer:
         generation = Generation(
-            request=request.request,
+            request=request.request_id,
             prompt=request.prompt,
             n_output=self._pick_output(request),
             urgency=5 if options.urgency is None else options.urgency,
@@ -152,7 +152,7 @@
             engine.drop(generation)
             raise
         if first is None:
-            return Broken(reason="reset")
+            return InvalidAnswer(reason="reset")
         self._note_start(request, engine)
         await asyncio.sleep(ONE_WAY_S)
         return EmulatedAnswer(
--- a/bench/emulator/world.py
+++ b/bench/emulator/world.py
@@ -166,7 +166,7 @@
         registry = Registry(configurations=self._configurations, entries=self._entries)
         sender = EmulatedSender(
             find_target=self._targets.get,
-            pick_output=lambda request: self._prompts.outputs[request.request],
+            pick_output=lambda request: self._prompts.outputs[request.request_id],
             note_start=self._note_start,
         )
         self._hosts = [
--- a/tests/components/forwarding/test_connections.py
+++ b/tests/components/forwarding/test_connections.py
@@ -6,20 +6,20 @@
 
 from tests.components.boards import make_board
 from tests.components.forwarding.common import make_target
-from trefoilstage.components.forwarding.border import ForwardOptions
 from trefoilstage.components.forwarding.connections import (
     limit_idle_connections,
     parse_idle_time,
 )
 from trefoilstage.components.forwarding.models import CallerRequest
 from trefoilstage.components.forwarding.sender import (
-    Broken,
-    NotSent,
+    InvalidAnswer,
+    NotRun,
     OpenAnswer,
     TargetSender,
     open_target_session,
 )
-from trefoilstage.platform.headers import HeaderBorder
+from trefoilstage.components.forwarding.translator import ForwardOptions
+from trefoilstage.platform.headers import HeaderTranslator
 
 LOOPBACK = "127.0.0.1"
 OPTIONS = ForwardOptions(workspace="school", deadline_s=5.0)
@@ -29,7 +29,7 @@
 def make_request(name: str, body: bytes = b"") -> tuple[CallerRequest, bytes]:
     """Return a caller's request and its body."""
     request = CallerRequest(
-        request=name,
+        request_id=name,
         method="POST",
         host="club.example",
         path="/x/",
@@ -66,7 +66,7 @@
         port = self._server.sockets[0].getsockname()[1]
         self.entry = make_target("i-1", address=f"{LOOPBACK}:{port}")
         self._session = open_target_session(LOOPBACK, make_board("host-0", ["host-0"]))
-        self.sender = TargetSender(session=self._session, border=HeaderBorder())
+        self.sender = TargetSender(session=self._session, translator=HeaderTranslator())
         return self
 
     async def __aexit__(self, *error: object) -> None:
@@ -90,7 +90,7 @@
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
-    async def send(self, name: str) -> bytes | Broken | NotSent:
+    async def send(self, name: str) -> bytes | InvalidAnswer | NotRun:
         """Send a request; return the complete body, or why there is none."""
         request, body = make_request(name)
         answer = await self.sender.send(request, body, self.entry, OPTIONS)
@@ -168,7 +168,7 @@
 
         async with ScriptedTarget(serve) as target:
             self.assertEqual(await target.send("r-0"), b"whole")
-            self.assertIsInstance(await target.send("r-1"), Broken)
+            self.assertIsInstance(await target.send("r-1"), InvalidAnswer)
             self.assertEqual(await target.send("r-2"), b"whole")
             self.assertEqual(target.n_connections, 2)
 
@@ -196,7 +196,7 @@
 
         async with ScriptedTarget(serve) as target:
             self.assertEqual(await target.send("r-0"), b"whole")
-            self.assertIsInstance(await target.send("r-1"), Broken)
+            self.assertIsInstance(await target.send("r-1"), InvalidAnswer)
             self.assertEqual(await target.send("r-2"), b"whole")
 
     async def test_request_on_a_closed_connection_may_have_run(self) -> None:
@@ -216,7 +216,7 @@
 
         async with ScriptedTarget(serve) as target:
             await target.send("r-0")
-            self.assertIsInstance(await target.send("r-1"), Broken)
+            self.assertIsInstance(await target.send("r-1"), InvalidAnswer)
             self.assertEqual(target.requests.count("r-1"), 1)
 
     async def test_connection_without_keep_alive_time_is_not_reused(self) -> None:
@@ -243,9 +243,9 @@
         async with ScriptedTarget(serve) as target:
             target.stop_listening()
             answer = await target.send("r-0")
-            assert isinstance(answer, NotSent)
+            assert isinstance(answer, NotRun)
             self.assertTrue(answer.unreachable)
-            self.assertFalse(answer.silent)
+            self.assertFalse(answer.timed_out)
 
     async def test_idle_connections_are_limited(self) -> None:
         """Send four concurrent requests twice; one idle connection is reused."""
--- a/tests/components/forwarding/test_heard_work.py
+++ b/tests/components/forwarding/test_peer_work.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from trefoilstage.components.forwarding.heard_work import (
+from trefoilstage.components.forwarding.peer_work import (
     MAX_REPORT_AGE_S,
     MAX_TOTALS_AGE_S,
     HomeTotals,
--- a/tests/components/forwarding/test_pipeline.py
+++ b/tests/components/forwarding/test_pipeline.py
@@ -11,7 +11,6 @@
 from tests.components.boards import make_board
 from tests.components.forwarding.common import make_route, make_target
 from trefoilstage.components.escrow.client import Hold
-from trefoilstage.components.forwarding.border import AnswerHead
 from trefoilstage.components.forwarding.models import (
     CallerRequest,
     PromptPart,
@@ -19,9 +18,10 @@
 )
 from trefoilstage.components.forwarding.pipeline import ForwardingPipeline
 from trefoilstage.components.forwarding.placement import CandidateInfo
-from trefoilstage.components.forwarding.run import Run
-from trefoilstage.components.forwarding.sender import Broken, OpenAnswer
+from trefoilstage.components.forwarding.request_state import RequestState
+from trefoilstage.components.forwarding.sender import InvalidAnswer, OpenAnswer
 from trefoilstage.components.forwarding.targets import SentPrompt
+from trefoilstage.components.forwarding.translator import AnswerHead
 from trefoilstage.helpers.verdict import Effect, Reason, Refusal
 
 PROMPT = (PromptPart(name="dossier", n_tokens=17_000),)
@@ -40,7 +40,7 @@
 
 
 @dataclass(kw_only=True)
-class Parts:
+class FakeCollaborators:
     """Replace the pipeline's collaborators and record its calls."""
 
     status: int
@@ -86,32 +86,34 @@
             status=self.status,
             not_run=False,
             misdirected=False,
-            signed=True,
-            own=True,
-            named=True,
-            encoded=False,
+            has_seal=True,
+            matches_request=True,
+            has_request_id=True,
+            is_encoded=False,
             closing=False,
         )
         return FixedAnswer(head=head, headers=[], response=cast(Any, None))
 
-    def set_whole(self, *_: object, **__: object) -> None: ...
+    def set_complete(self, *_: object, **__: object) -> None: ...
 
     is_open = False
 
 
-async def ask(parts: "Parts", kind: RouteKind, *, max_attempts: int) -> Refusal | None:
+async def send_prompt(
+    collaborators: "FakeCollaborators", kind: RouteKind, *, max_attempts: int
+) -> Refusal | None:
     """Send a prompt through a pipeline and return the refusal, if any."""
     pipeline = ForwardingPipeline(
         board=make_board("host-0", ["host-0"]),
-        escrow=cast(Any, parts),
-        chooser=cast(Any, parts),
-        sender=cast(Any, parts),
-        crashes=cast(Any, parts),
+        escrow=cast(Any, collaborators),
+        chooser=cast(Any, collaborators),
+        sender=cast(Any, collaborators),
+        crashes=cast(Any, collaborators),
         generator=random.Random(1),
     )
     now = asyncio.get_running_loop().time()
     request = CallerRequest(
-        request="r-1",
+        request_id="r-1",
         method="POST",
         host="club.example",
         path="/x/",
@@ -123,25 +125,25 @@
         prompt=PROMPT,
         headers=(),
     )
-    run = Run(
+    state = RequestState(
         request=request,
         body=b"",
         route=replace(make_route("/x/"), kind=kind, max_attempts=max_attempts),
         workspace=None,
-        started=now,
+        started_at=now,
         deadline=now + 5.0,
     )
-    return await pipeline.run(run, cast(Any, parts))
+    return await pipeline.run(state, cast(Any, collaborators))
 
 
 class PrefillSampleTest(unittest.IsolatedAsyncioTestCase):
     """Test which answers count as prefill samples."""
 
-    async def ask(self, status: int, kind: RouteKind) -> Parts:
+    async def send_prompt(self, status: int, kind: RouteKind) -> FakeCollaborators:
         """Send a prompt that the target answers with a given status."""
-        parts = Parts(status=status)
-        await ask(parts, kind, max_attempts=1)
-        return parts
+        collaborators = FakeCollaborators(status=status)
+        await send_prompt(collaborators, kind, max_attempts=1)
+        return collaborators
 
     async def test_fast_failure_is_no_prefill_sample(self) -> None:
         """Let a target answer a long prompt with status 500 within a millisecond.
@@ -149,16 +151,20 @@
         Counted as a sample, the failure would make the target look the fastest, and it
         would attract more prompts.
         """
-        parts = await self.ask(500, RouteKind.ONCE)
-        self.assertEqual((parts.n_prefilled, parts.n_removed), ([], [17_000]))
+        collaborators = await self.send_prompt(500, RouteKind.ONCE)
+        self.assertEqual(
+            (collaborators.n_prefilled, collaborators.n_removed), ([], [17_000])
+        )
 
     async def test_success_is_a_prefill_sample(self) -> None:
-        parts = await self.ask(200, RouteKind.ONCE)
-        self.assertEqual((parts.n_prefilled, parts.n_removed), ([17_000], []))
+        collaborators = await self.send_prompt(200, RouteKind.ONCE)
+        self.assertEqual(
+            (collaborators.n_prefilled, collaborators.n_removed), ([17_000], [])
+        )
 
 
 @dataclass(kw_only=True)
-class SlowParts(Parts):
+class SlowCollaborators(FakeCollaborators):
     """Grant the token hold after a delay, and count the candidate queries."""
 
     hold_s: float
@@ -178,9 +184,9 @@
 
     def count_queries(self, hold_s: float) -> int:
         """Return how often the candidates are queried for one prompt."""
-        parts = SlowParts(status=200, hold_s=hold_s)
-        run_virtually(ask(parts, RouteKind.ONCE, max_attempts=1))
-        return parts.n_queries
+        collaborators = SlowCollaborators(status=200, hold_s=hold_s)
+        run_virtually(send_prompt(collaborators, RouteKind.ONCE, max_attempts=1))
+        return collaborators.n_queries
 
     def test_candidates_are_queried_again_after_a_long_hold(self) -> None:
         """Guard against all requests choosing the same targets after an outage."""
@@ -194,7 +200,7 @@
 
 
 @dataclass(kw_only=True)
-class BlockingParts(Parts):
+class BlockingCollaborators(FakeCollaborators):
     """Fail each send, and block the request after `n_passed` checks."""
 
     n_passed: int
@@ -220,7 +226,7 @@
 
     async def send(self, *_: object) -> Any:
         self.n_sent += 1
-        return Broken(reason="the target crashed")
+        return InvalidAnswer(reason="the target crashed")
 
 
 class BlockedTest(unittest.IsolatedAsyncioTestCase):
@@ -228,22 +234,24 @@
 
     async def test_blocked_request_is_neither_held_nor_sent(self) -> None:
         """Guard against sending a blocked request to another target."""
-        parts = BlockingParts(n_passed=0)
-        refusal = await ask(parts, RouteKind.IDEMPOTENT, max_attempts=2)
-        self.assertEqual((refusal, parts.n_held, parts.n_sent), (BLOCKED, 0, 0))
+        collaborators = BlockingCollaborators(n_passed=0)
+        refusal = await send_prompt(collaborators, RouteKind.IDEMPOTENT, max_attempts=2)
+        self.assertEqual(
+            (refusal, collaborators.n_held, collaborators.n_sent), (BLOCKED, 0, 0)
+        )
 
     async def test_request_blocked_during_its_hold_is_not_sent(self) -> None:
         """Guard against a send when a peer host blocked it during the token hold."""
-        parts = BlockingParts(n_passed=1)
-        refusal = await ask(parts, RouteKind.IDEMPOTENT, max_attempts=2)
-        self.assertEqual((refusal, parts.n_sent), (BLOCKED, 0))
+        collaborators = BlockingCollaborators(n_passed=1)
+        refusal = await send_prompt(collaborators, RouteKind.IDEMPOTENT, max_attempts=2)
+        self.assertEqual((refusal, collaborators.n_sent), (BLOCKED, 0))
 
     async def test_request_blocked_after_a_send_is_not_retried(self) -> None:
         """Guard against another crash, and a false "not run" effect."""
-        parts = BlockingParts(n_passed=2)
-        refusal = await ask(parts, RouteKind.IDEMPOTENT, max_attempts=3)
+        collaborators = BlockingCollaborators(n_passed=2)
+        refusal = await send_prompt(collaborators, RouteKind.IDEMPOTENT, max_attempts=3)
         assert refusal is not None
-        self.assertEqual((refusal.effect, parts.n_sent), (Effect.UNKNOWN, 1))
+        self.assertEqual((refusal.effect, collaborators.n_sent), (Effect.UNKNOWN, 1))
 
 
 if __name__ == "__main__":
--- a/tests/components/forwarding/test_server.py
+++ b/tests/components/forwarding/test_server.py
@@ -19,7 +19,7 @@
         self.server = ForwardingServer(
             board=self.board,
             settings=mock.Mock(),
-            border=mock.Mock(),
+            translator=mock.Mock(),
             pipeline=mock.Mock(),
         )
 
--- a/tests/components/forwarding/test_reading_board.py
+++ b/tests/components/forwarding/test_shared_prefill_speeds.py
@@ -2,12 +2,12 @@
 
 import unittest
 
-from trefoilstage.components.forwarding.reading_board import SharedPrefillSpeeds
-from trefoilstage.components.forwarding.reading_pace import (
+from trefoilstage.components.forwarding.prefill_speed import (
     DEFAULT_TOKENS_PER_S,
     DecayingTotals,
     PrefillTotals,
 )
+from trefoilstage.components.forwarding.shared_prefill_speeds import SharedPrefillSpeeds
 
 
 class SharedPrefillSpeedsTest(unittest.TestCase):
--- a/tests/components/forwarding/test_targets.py
+++ b/tests/components/forwarding/test_targets.py
@@ -16,7 +16,7 @@
     ServiceConfig,
 )
 from trefoilstage.components.forwarding.placement import CandidateInfo, PromptNeed
-from trefoilstage.components.forwarding.sender import NotSent
+from trefoilstage.components.forwarding.sender import NotRun
 from trefoilstage.components.forwarding.targets import TargetChooser
 from trefoilstage.components.forwarding.work import Work
 from trefoilstage.components.forwarding.workload import WorkloadController
@@ -78,7 +78,7 @@
         old = make_target("i-1", started_ms=1)
         self.board.targets.add(old)
         self.board.targets.add(make_target("i-2", started_ms=1))
-        self.chooser.record_answer(old, NotSent(reason="timeout", silent=True))
+        self.chooser.record_answer(old, NotRun(reason="timeout", timed_out=True))
         self.assertEqual(self.choose(), "i-2@1")
         busy = make_target("i-2", started_ms=1)
         self.chooser.add_request(busy, (), CandidateInfo())
@@ -97,7 +97,7 @@
             make_target("i-1", started_ms=3_000, address="127.0.0.1:2")
         )
         self.assertEqual(self.choose(), "i-1@5000")
-        self.chooser.record_answer(old, NotSent(reason="refused", unreachable=True))
+        self.chooser.record_answer(old, NotRun(reason="refused", unreachable=True))
         self.assertEqual(self.choose(), "i-1@3000")
 
     async def test_health_of_ended_targets_is_removed(self) -> None:
--- a/tests/components/forwarding/test_workload.py
+++ b/tests/components/forwarding/test_workload.py
@@ -10,12 +10,12 @@
 from tests.components.escrow.common import ManualTimer
 from tests.components.forwarding.common import make_target
 from trefoilstage.components.fleet.messages import FLEET_CODEC
-from trefoilstage.components.forwarding.heard_work import (
+from trefoilstage.components.forwarding.messages import WorkQuery, WorkReport
+from trefoilstage.components.forwarding.models import PromptPart
+from trefoilstage.components.forwarding.peer_work import (
     MAX_REPORT_AGE_S,
     MAX_TOTALS_AGE_S,
 )
-from trefoilstage.components.forwarding.messages import WorkQuery, WorkReport
-from trefoilstage.components.forwarding.models import PromptPart
 from trefoilstage.components.forwarding.placement import (
     MAX_CANDIDATES,
     PromptNeed,
--- a/tests/components/test_stalled_connects.py
+++ b/tests/components/test_stalled_connects.py
@@ -12,7 +12,7 @@
 from bench.emulator.clock import run_virtually
 from standins.platform import LOOPBACK, serve
 from tests.components.forwarding.common import make_target
-from tests.components.forwarding.test_pipeline import Parts, ask
+from tests.components.forwarding.test_pipeline import FakeCollaborators, send_prompt
 from trefoilstage.components.crashes.probe import (
     CONNECT_TIMEOUT_S as PROBE_TIMEOUT_S,
 )
@@ -21,7 +21,7 @@
 from trefoilstage.components.forwarding.sender import (
     CONNECT_TIMEOUT_S as FORWARDING_TIMEOUT_S,
 )
-from trefoilstage.components.forwarding.sender import NotSent, OpenAnswer, TargetSender
+from trefoilstage.components.forwarding.sender import NotRun, OpenAnswer, TargetSender
 from trefoilstage.components.targets.client import (
     CONNECT_TIMEOUT_S,
     TargetClient,
@@ -92,15 +92,15 @@
 
     async def test_target_is_not_blamed_for_its_hosts_stall(self) -> None:
         """Guard against targets taken for silent by a host that was suspended."""
-        border = mock.Mock()
-        border.write_request.return_value = []
-        sender = TargetSender(session=self.session, border=border)
+        translator = mock.Mock()
+        translator.write_request.return_value = []
+        sender = TargetSender(session=self.session, translator=translator)
         request = mock.Mock(method="POST", raw_target="/x/")
         target = make_target("i-1", address=f"{LOOPBACK}:{self.port}")
         with freeze_at_connect(FORWARDING_TIMEOUT_S):
             sent = await sender.send(request, b"{}", target, mock.Mock())
-        assert isinstance(sent, NotSent), sent
-        self.assertEqual((sent.stalled, sent.silent), (True, False))
+        assert isinstance(sent, NotRun), sent
+        self.assertEqual((sent.host_was_suspended, sent.timed_out), (True, False))
 
 
 class StalledPipelineTest(unittest.TestCase):
@@ -108,13 +108,15 @@
 
     def test_request_goes_to_the_same_target_after_a_stall(self) -> None:
         """Guard against leaving out a target that is well."""
-        parts = WakingParts(status=200)
-        refusal = run_virtually(ask(parts, RouteKind.IDEMPOTENT, max_attempts=1))
+        collaborators = WakingCollaborators(status=200)
+        refusal = run_virtually(
+            send_prompt(collaborators, RouteKind.IDEMPOTENT, max_attempts=1)
+        )
         self.assertIsNone(refusal)
-        self.assertEqual(parts.excluded, [set(), set()])
+        self.assertEqual(collaborators.excluded, [set(), set()])
 
 
-class WakingParts(Parts):
+class WakingCollaborators(FakeCollaborators):
     """Stand still at the first send."""
 
     def __init__(self, *, status: int) -> None:
@@ -129,8 +131,8 @@
     async def send(self, *arguments: object) -> OpenAnswer:
         """Stand still once, then get an answer."""
         if len(self.excluded) == 1:
-            stalled = NotSent(reason="ConnectionTimeoutError", stalled=True)
-            return cast(OpenAnswer, stalled)
+            not_run = NotRun(reason="ConnectionTimeoutError", host_was_suspended=True)
+            return cast(OpenAnswer, not_run)
         return await super().send(*arguments)
 
 
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -81,7 +81,7 @@
         route = found.routes[0]
         self.assertEqual(found.version, 7)
         self.assertIs(route.kind, RouteKind.STREAM)
-        self.assertTrue(route.is_repeatable)
+        self.assertTrue(route.is_retryable)
         self.assertEqual((route.host, route.timeout_s), ("club.example", 15.0))
         self.assertEqual([share.service for share in route.shares], ["x", "y"])
         self.assertEqual(found.workspaces_by_key["k2"].prepaid_tokens, 1000)
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -1,15 +1,15 @@
-"""Test what crosses the border in headers."""
+"""Test the translation of requests and answers from and to headers."""
 
 import unittest
 
 from tests.components.forwarding.common import make_target
-from trefoilstage.components.forwarding.border import (
+from trefoilstage.components.forwarding.translator import (
     ForwardOptions,
     MalformedRequestError,
 )
-from trefoilstage.platform.headers import HeaderBorder
+from trefoilstage.platform.headers import HeaderTranslator
 
-BORDER = HeaderBorder()
+TRANSLATOR = HeaderTranslator()
 PLAIN = {
     "Host": "Club.example:80",
     "Attempt-Id": "9c41",
@@ -20,19 +20,19 @@
 }
 
 
-class HeaderBorderTest(unittest.TestCase):
+class HeaderTranslatorTest(unittest.TestCase):
     """Test the decoding and encoding of headers."""
 
     def read(self, **more: str):  # type: ignore[no-untyped-def]
         """Decode a request with some headers more."""
         headers = {**PLAIN, **{name.replace("_", "-"): v for name, v in more.items()}}
-        return BORDER.read_request(
+        return TRANSLATOR.read_request(
             method="POST", raw_target="/a/b?x=1", headers=headers.items()
         )
 
     def write(self, options: ForwardOptions, **more: str) -> dict[str, str]:
         """Return the headers that a target gets."""
-        pairs = BORDER.write_request(self.read(**more), make_target("i-1"), options)
+        pairs = TRANSLATOR.write_request(self.read(**more), make_target("i-1"), options)
         self.assertEqual(len(pairs), len(dict(pairs)), pairs)
         return dict(pairs)
 
@@ -107,19 +107,19 @@
         """Read answers without a signature, or that name another request."""
         request = self.read()
         good = {"Attempt-Id": "9c41", "Response-Seal": "s"}
-        self.assertTrue(BORDER.read_answer(request, 200, good).trusted)
+        self.assertTrue(TRANSLATOR.read_answer(request, 200, good).trusted)
         for bad in (
             {**good, "Attempt-Id": "other"},
             {"Attempt-Id": "9c41"},
             {**good, "Content-Encoding": "gzip"},
         ):
-            self.assertFalse(BORDER.read_answer(request, 200, bad).trusted)
+            self.assertFalse(TRANSLATOR.read_answer(request, 200, bad).trusted)
 
     def test_only_a_target_that_says_so_did_not_run(self) -> None:
         """Tell a target's refusal from its failure."""
         request = self.read()
-        refused = BORDER.read_answer(request, 503, {"Not-Executed": "1"})
+        refused = TRANSLATOR.read_answer(request, 503, {"Not-Executed": "1"})
         self.assertTrue(refused.not_run)
-        self.assertFalse(BORDER.read_answer(request, 503, {}).not_run)
-        misdirected = BORDER.read_answer(request, 421, {})
+        self.assertFalse(TRANSLATOR.read_answer(request, 503, {}).not_run)
+        misdirected = TRANSLATOR.read_answer(request, 421, {})
         self.assertTrue(misdirected.not_run and misdirected.misdirected)
--- a/trefoilstage/components/forwarding/answers.py
+++ b/trefoilstage/components/forwarding/answers.py
@@ -5,8 +5,8 @@
 
 from aiohttp import web
 
-from trefoilstage.components.forwarding.border import Border
 from trefoilstage.components.forwarding.models import CallerRequest
+from trefoilstage.components.forwarding.translator import RequestTranslator
 from trefoilstage.const import HEADER_RETRY_AFTER
 from trefoilstage.helpers.verdict import Effect, Reason, Refusal
 
@@ -34,7 +34,7 @@
 class RefusalMaker:
     """Create responses that state why a request is refused."""
 
-    border: Border
+    translator: RequestTranslator
 
     def make(
         self, refusal: Refusal, request: CallerRequest | None, *, close: bool = False
@@ -48,7 +48,7 @@
             },
             status=get_status(refusal),
         )
-        for name, value in self.border.write_refusal(request):
+        for name, value in self.translator.write_refusal(request):
             response.headers[name] = value
         if refusal.retry_after_s is not None and refusal.effect is Effect.NOT_RUN:
             response.headers[HEADER_RETRY_AFTER] = f"{refusal.retry_after_s:.2f}"
--- a/trefoilstage/components/forwarding/messages.py
+++ b/trefoilstage/components/forwarding/messages.py
@@ -4,7 +4,7 @@
 from typing import Literal
 
 from trefoilstage.components.forwarding.models import PromptPart
-from trefoilstage.components.forwarding.reading_pace import PrefillTotals
+from trefoilstage.components.forwarding.prefill_speed import PrefillTotals
 from trefoilstage.components.forwarding.work import Work
 from trefoilstage.helpers.fields import Count, Name
 
--- a/trefoilstage/components/forwarding/models.py
+++ b/trefoilstage/components/forwarding/models.py
@@ -40,7 +40,7 @@
     silence_limit_s: float = 2.0  # callers give up after a longer time without data
 
     @property
-    def is_repeatable(self) -> bool:
+    def is_retryable(self) -> bool:
         """Return whether a request that may have run may be sent again."""
         return self.kind is RouteKind.IDEMPOTENT or (
             self.kind is RouteKind.STREAM and self.resumable
@@ -135,7 +135,7 @@
 class CallerRequest:
     """Represent a caller's decoded request."""
 
-    request: str
+    request_id: str
     method: str
     host: str
     path: str  # without the query
--- a/trefoilstage/components/forwarding/placement.py
+++ b/trefoilstage/components/forwarding/placement.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass, field
 
 from trefoilstage.components.forwarding.models import PromptPart, TargetEntry
+from trefoilstage.components.forwarding.prefill_speed import DEFAULT_TOKENS_PER_S
 from trefoilstage.components.forwarding.prompt_cache import USABLE_MEMORY_SHARE
-from trefoilstage.components.forwarding.reading_pace import DEFAULT_TOKENS_PER_S
 from trefoilstage.components.forwarding.work import Work
 from trefoilstage.util.hashing import rank_by_rendezvous, rank_names
 
--- a/trefoilstage/components/forwarding/relay.py
+++ b/trefoilstage/components/forwarding/relay.py
@@ -5,7 +5,7 @@
 from trefoilstage.components.forwarding.events import EventSplitter, StreamEvent
 from trefoilstage.components.forwarding.models import RouteKind
 from trefoilstage.components.forwarding.reply import CallerReply
-from trefoilstage.components.forwarding.run import Run
+from trefoilstage.components.forwarding.request_state import RequestState
 from trefoilstage.components.forwarding.sender import AnswerBrokenError, OpenAnswer
 from trefoilstage.exceptions import MalformedMessageError
 from trefoilstage.fleet_board import FleetBoard
@@ -18,25 +18,27 @@
     def __init__(self, *, board: FleetBoard) -> None:
         self._board = board
 
-    async def relay(self, run: Run, reply: CallerReply, answer: OpenAnswer) -> None:
+    async def relay(
+        self, state: RequestState, reply: CallerReply, answer: OpenAnswer
+    ) -> None:
         """Pass on an answer.
 
         Raises AnswerBrokenError if the answer is incomplete, MalformedMessageError if
         its events are malformed or out of order.
         """
-        if run.route.kind is RouteKind.STREAM and answer.head.success:
-            await self._relay_stream(run, reply, answer)
+        if state.route.kind is RouteKind.STREAM and answer.head.success:
+            await self._relay_stream(state, reply, answer)
         else:
-            await self._relay_body(run, reply, answer)
+            await self._relay_body(state, reply, answer)
 
     async def _relay_body(
-        self, run: Run, reply: CallerReply, answer: OpenAnswer
+        self, state: RequestState, reply: CallerReply, answer: OpenAnswer
     ) -> None:
-        # Read completely before the first byte is passed on, so that a repeatable
+        # Read completely before the first byte is passed on, so that a retryable
         # request can still be sent again if the answer breaks off.
         parts = [data async for data in answer.read()]
-        run.complete = True
-        reply.set_whole(
+        state.complete = True
+        reply.set_complete(
             answer.head.status,
             answer.headers,
             b"".join(parts),
@@ -44,37 +46,39 @@
         )
 
     async def _relay_stream(
-        self, run: Run, reply: CallerReply, answer: OpenAnswer
+        self, state: RequestState, reply: CallerReply, answer: OpenAnswer
     ) -> None:
         splitter = EventSplitter()
         async for data in answer.read():
-            run.record_target_data(asyncio.get_running_loop().time())
-            events = self._select_new(run, splitter.add(data))
+            state.record_target_data(asyncio.get_running_loop().time())
+            events = self._select_new(state, splitter.add(data))
             if not events:
                 continue
             await self._open_reply(reply, answer)
-            run.record_caller_data(asyncio.get_running_loop().time())
+            state.record_caller_data(asyncio.get_running_loop().time())
             await reply.write(b"".join(event.data for event in events))
         if splitter.has_partial_event:
             raise AnswerBrokenError("the stream ended in the middle of an event")
         await self._open_reply(reply, answer)
-        run.complete = True
+        state.complete = True
         await reply.end()
 
-    def _select_new(self, run: Run, events: list[StreamEvent]) -> list[StreamEvent]:
+    def _select_new(
+        self, state: RequestState, events: list[StreamEvent]
+    ) -> list[StreamEvent]:
         """Return and count the events that the caller has not received yet."""
         new_events: list[StreamEvent] = []
         for event in events:
-            if event.event_id is not None and run.last_event_id is not None:
-                if event.event_id <= run.last_event_id:
+            if event.event_id is not None and state.last_event_id is not None:
+                if event.event_id <= state.last_event_id:
                     continue
-                if event.event_id != run.last_event_id + 1:
+                if event.event_id != state.last_event_id + 1:
                     raise MalformedMessageError(
-                        f"event {event.event_id} follows event {run.last_event_id}"
+                        f"event {event.event_id} follows event {state.last_event_id}"
                     )
             if event.event_id is not None:
-                run.last_event_id = event.event_id
-            run.n_events += 1
+                state.last_event_id = event.event_id
+            state.n_events += 1
             new_events.append(event)
         return new_events
 
--- a/trefoilstage/components/forwarding/reply.py
+++ b/trefoilstage/components/forwarding/reply.py
@@ -24,7 +24,7 @@
     async def end(self) -> None:
         """Send the end of a stream."""
 
-    def set_whole(
+    def set_complete(
         self,
         status: int,
         headers: Sequence[tuple[str, str]],
@@ -69,7 +69,7 @@
         if self._stream is not None:
             await self._stream.write_eof()
 
-    def set_whole(
+    def set_complete(
         self,
         status: int,
         headers: Sequence[tuple[str, str]],
--- a/trefoilstage/components/forwarding/run.py
+++ b/trefoilstage/components/forwarding/request_state.py
@@ -16,14 +16,14 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class Run:
+class RequestState:
     """Track the progress of one request, over all targets that it is sent to."""
 
     request: CallerRequest
     body: bytes
     route: Route
     workspace: Workspace | None
-    started: float
+    started_at: float
     deadline: float
     body_s: float = 0.0  # until its body arrived
     n_possible_runs: int = 0  # sends that a target may have run
--- a/trefoilstage/components/forwarding/sender.py
+++ b/trefoilstage/components/forwarding/sender.py
@@ -7,17 +7,17 @@
 import aiohttp
 from yarl import URL
 
-from trefoilstage.components.forwarding.border import (
-    AnswerHead,
-    Border,
-    ForwardOptions,
-)
 from trefoilstage.components.forwarding.connections import (
     CheckedResponse,
     KeepAliveConnector,
     limit_idle_connections,
 )
 from trefoilstage.components.forwarding.models import CallerRequest, TargetEntry
+from trefoilstage.components.forwarding.translator import (
+    AnswerHead,
+    ForwardOptions,
+    RequestTranslator,
+)
 from trefoilstage.exceptions import TrefoilstageError
 from trefoilstage.fleet_board import FleetBoard
 from trefoilstage.helpers.sends import Attempt, RepeatedSendError, open_session
@@ -36,19 +36,19 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class NotSent:
+class NotRun:
     """Report that a target certainly did not run a request."""
 
     reason: str
     misdirected: bool = False
     busy: bool = False
     unreachable: bool = False  # no connection could be opened
-    silent: bool = False  # the connection attempt timed out
-    stalled: bool = False  # this host was suspended while it connected
+    timed_out: bool = False  # the connection attempt timed out
+    host_was_suspended: bool = False  # this host was suspended while it connected
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Broken:
+class InvalidAnswer:
     """Report that a target gave no valid answer; it may have run the request."""
 
     reason: str
@@ -101,9 +101,11 @@
 class TargetSender:
     """Send requests to targets."""
 
-    def __init__(self, *, session: aiohttp.ClientSession, border: Border) -> None:
+    def __init__(
+        self, *, session: aiohttp.ClientSession, translator: RequestTranslator
+    ) -> None:
         self._session = session
-        self._border = border
+        self._translator = translator
 
     async def send(
         self,
@@ -111,7 +113,7 @@
         body: bytes,
         target: TargetEntry,
         options: ForwardOptions,
-    ) -> OpenAnswer | NotSent | Broken:
+    ) -> OpenAnswer | NotRun | InvalidAnswer:
         """Return a target's answer, or whether it may have run the request."""
         attempt = Attempt(once=True)
         try:
@@ -119,7 +121,7 @@
                 request.method,
                 URL(f"http://{target.address}{request.raw_target}", encoded=True),
                 data=body or None,
-                headers=self._border.write_request(request, target, options),
+                headers=self._translator.write_request(request, target, options),
                 skip_auto_headers=SKIPPED_HEADERS,
                 allow_redirects=False,
                 auto_decompress=False,
@@ -131,29 +133,29 @@
         except CONNECTION_ERRORS as error:
             name = type(error).__name__
             if attempt.n_sent:
-                return Broken(reason=name)
-            timed_out = isinstance(error, aiohttp.ConnectionTimeoutError)
-            if timed_out and attempt.was_stalled(CONNECT_TIMEOUT_S):
-                return NotSent(reason=name, stalled=True)
-            silent = isinstance(error, TimeoutError)
-            return NotSent(reason=name, unreachable=True, silent=silent)
+                return InvalidAnswer(reason=name)
+            is_connect_timeout = isinstance(error, aiohttp.ConnectionTimeoutError)
+            if is_connect_timeout and attempt.was_stalled(CONNECT_TIMEOUT_S):
+                return NotRun(reason=name, host_was_suspended=True)
+            timed_out = isinstance(error, TimeoutError)
+            return NotRun(reason=name, unreachable=True, timed_out=timed_out)
         return self._check_head(request, cast(CheckedResponse, response))
 
     def _check_head(
         self, request: CallerRequest, response: CheckedResponse
-    ) -> OpenAnswer | NotSent | Broken:
-        head = self._border.read_answer(request, response.status, response.headers)
-        if head.not_run and head.own_or_unnamed:
+    ) -> OpenAnswer | NotRun | InvalidAnswer:
+        head = self._translator.read_answer(request, response.status, response.headers)
+        if head.not_run and head.names_no_other_request:
             response.discard()
-            return NotSent(
+            return NotRun(
                 reason=f"status {head.status}",
                 misdirected=head.misdirected,
                 busy=not head.misdirected,
             )
         if not head.trusted:
             response.discard()
-            return Broken(
+            return InvalidAnswer(
                 reason=f"status {head.status}, not a verified answer of the target"
             )
-        headers = self._border.write_answer(response.headers.items())
+        headers = self._translator.write_answer(response.headers.items())
         return OpenAnswer(head=head, headers=headers, response=response)
--- a/trefoilstage/components/forwarding/server.py
+++ b/trefoilstage/components/forwarding/server.py
@@ -7,12 +7,15 @@
 from mode import Service
 
 from trefoilstage.components.forwarding.answers import RefusalMaker
-from trefoilstage.components.forwarding.border import Border, MalformedRequestError
 from trefoilstage.components.forwarding.models import CallerRequest, RouteKind
 from trefoilstage.components.forwarding.pipeline import ForwardingPipeline
 from trefoilstage.components.forwarding.placement import IN_TIME_OBJECTIVE_SHARE
 from trefoilstage.components.forwarding.reply import WebReply
-from trefoilstage.components.forwarding.run import Run
+from trefoilstage.components.forwarding.request_state import RequestState
+from trefoilstage.components.forwarding.translator import (
+    MalformedRequestError,
+    RequestTranslator,
+)
 from trefoilstage.fleet_board import FleetBoard
 from trefoilstage.fleet_settings import FleetSettings
 from trefoilstage.helpers.events import Event, log_event
@@ -59,15 +62,15 @@
         *,
         board: FleetBoard,
         settings: FleetSettings,
-        border: Border,
+        translator: RequestTranslator,
         pipeline: ForwardingPipeline,
     ) -> None:
         super().__init__()
         self._board = board
         self._settings = settings
-        self._border = border
+        self._translator = translator
         self._pipeline = pipeline
-        self._refusal_maker = RefusalMaker(border=border)
+        self._refusal_maker = RefusalMaker(translator=translator)
         self._refuses_streams = False
         self._refuses_all = False
         self._request_tasks: set[asyncio.Task[Any]] = set()
@@ -132,7 +135,7 @@
             await asyncio.sleep(DRAIN_POLL_S)
         return True
 
-    async def cut_off(self) -> None:
+    async def cancel_requests(self) -> None:
         """Cancel the requests in progress; their callers get an incomplete answer.
 
         If requests ended only when the connections close, they would settle their
@@ -143,7 +146,7 @@
         if self._request_tasks:
             await asyncio.wait(self._request_tasks, timeout=CANCEL_TIMEOUT_S)
 
-    def refuse_long_requests(self) -> None:
+    def refuse_streams(self) -> None:
         """Refuse new streams, which would not end before the shutdown."""
         self._refuses_streams = True
 
@@ -191,18 +194,18 @@
         assert task is not None
         self._request_tasks.add(task)
         try:
-            request = self._border.read_request(
+            request = self._translator.read_request(
                 method=web_request.method,
                 raw_target=web_request.raw_path,
                 headers=web_request.headers.items(),
             )
-            run = await self._create_run(request, web_request, started)
-            if isinstance(run, Refusal):
-                return self._refuse(run, request)
+            state = await self._create_request_state(request, web_request, started)
+            if isinstance(state, Refusal):
+                return self._refuse(state, request)
             reply = WebReply(web_request=web_request)
-            refusal = await self._run(run, reply)
+            refusal = await self._run(state, reply)
             if refusal is not None or reply.response is None:
-                return self._refuse_run(refusal or NO_ANSWER, run, reply)
+                return self._refuse_or_abort(refusal or NO_ANSWER, state, reply)
             return reply.response
         except MalformedRequestError as error:
             refusal = Refusal(reason=Reason.BAD_REQUEST, detail=str(error))
@@ -210,17 +213,17 @@
         finally:
             self._request_tasks.discard(task)
 
-    async def _run(self, run: Run, reply: WebReply) -> Refusal | None:
-        is_stream = run.route.kind is RouteKind.STREAM
+    async def _run(self, state: RequestState, reply: WebReply) -> Refusal | None:
+        is_stream = state.route.kind is RouteKind.STREAM
         self.n_streams += is_stream
         try:
-            return await self._pipeline.run(run, reply)
+            return await self._pipeline.run(state, reply)
         finally:
             self.n_streams -= is_stream
 
-    async def _create_run(
+    async def _create_request_state(
         self, request: CallerRequest, web_request: web.BaseRequest, started: float
-    ) -> Run | Refusal:
+    ) -> RequestState | Refusal:
         configuration = self._board.configuration
         if configuration is None:
             return NOT_READY
@@ -247,12 +250,12 @@
         wait_s = route.timeout_s
         if request.deadline_s is not None:
             wait_s = min(wait_s, request.deadline_s)
-        return Run(
+        return RequestState(
             request=request,
             body=body,
             route=route,
             workspace=workspace,
-            started=started,
+            started_at=started,
             body_s=body_s,
             deadline=started + wait_s,
         )
@@ -262,7 +265,7 @@
     ) -> web.StreamResponse:
         log_event(
             Event.REQUEST_REFUSED,
-            request=request.request if request else "",
+            request=request.request_id if request else "",
             workspace=workspace,
             reason=refusal.reason,
             effect=refusal.effect,
@@ -271,17 +274,17 @@
         close = self._board.phase is Phase.DRAINING or refusal is LINK_FULL
         return self._refusal_maker.make(refusal, request, close=close)
 
-    def _refuse_run(
-        self, refusal: Refusal, run: Run, reply: WebReply
+    def _refuse_or_abort(
+        self, refusal: Refusal, state: RequestState, reply: WebReply
     ) -> web.StreamResponse:
         if reply.response is None:
-            return self._refuse(refusal, run.request, run.workspace_name)
+            return self._refuse(refusal, state.request, state.workspace_name)
         # The head was already sent. The caller detects the incomplete answer by the
         # missing end of the body.
         log_event(
             Event.REQUEST_FAILED,
-            request=run.request.request,
-            workspace=run.workspace_name,
+            request=state.request.request_id,
+            workspace=state.workspace_name,
             reason=refusal.reason,
             effect=refusal.effect,
             detail=refusal.detail,
--- a/trefoilstage/components/forwarding/reading_board.py
+++ b/trefoilstage/components/forwarding/shared_prefill_speeds.py
@@ -4,7 +4,7 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
-from trefoilstage.components.forwarding.reading_pace import (
+from trefoilstage.components.forwarding.prefill_speed import (
     DEFAULT_TOKENS_PER_S,
     DecayingTotals,
     PrefillTotals,
--- a/trefoilstage/components/forwarding/targets.py
+++ b/trefoilstage/components/forwarding/targets.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 
 from trefoilstage.components.fleet.membership import FleetMembership
-from trefoilstage.components.forwarding.heard_work import MAX_TOTALS_AGE_S
 from trefoilstage.components.forwarding.models import PromptPart, TargetEntry
+from trefoilstage.components.forwarding.peer_work import MAX_TOTALS_AGE_S
 from trefoilstage.components.forwarding.placement import (
     MAX_CANDIDATES,
     N_FIRST_CANDIDATES,
@@ -19,7 +19,7 @@
     rank_candidates,
 )
 from trefoilstage.components.forwarding.retries import RetryBudget
-from trefoilstage.components.forwarding.sender import Broken, NotSent, OpenAnswer
+from trefoilstage.components.forwarding.sender import InvalidAnswer, NotRun, OpenAnswer
 from trefoilstage.components.forwarding.workload import WorkloadController
 from trefoilstage.components.targets.health import TargetHealth
 from trefoilstage.fleet_board import FleetBoard
@@ -232,7 +232,7 @@
         self._get_health(target).note_dropped()
 
     def record_answer(
-        self, target: TargetEntry, answer: OpenAnswer | NotSent | Broken
+        self, target: TargetEntry, answer: OpenAnswer | NotRun | InvalidAnswer
     ) -> None:
         """Update a target's health by the outcome of a request."""
         now = self._timer.now()
@@ -242,20 +242,20 @@
                 health.note_answer()
                 return
             failed = health.note_failure(now)
-        elif isinstance(answer, NotSent) and answer.misdirected:
+        elif isinstance(answer, NotRun) and answer.misdirected:
             self._board.targets.remove(target)
             log_event(Event.TARGET_REPLACED, target=target.name)
             return
-        elif isinstance(answer, NotSent) and answer.busy:
+        elif isinstance(answer, NotRun) and answer.busy:
             health.note_busy(now)
             return
-        elif isinstance(answer, NotSent) and answer.stalled:
+        elif isinstance(answer, NotRun) and answer.host_was_suspended:
             return
-        elif isinstance(answer, NotSent) and answer.silent:
+        elif isinstance(answer, NotRun) and answer.timed_out:
             failed = health.note_silence(now)
         else:
             failed = health.note_failure(now)
-        unreachable = isinstance(answer, NotSent) and answer.unreachable
+        unreachable = isinstance(answer, NotRun) and answer.unreachable
         if unreachable and self._board.targets.give_way(target):
             log_event(
                 Event.TARGET_GAVE_WAY,
--- a/trefoilstage/components/forwarding/border.py
+++ b/trefoilstage/components/forwarding/translator.py
@@ -29,10 +29,10 @@
     status: int
     not_run: bool  # the target states that it did not run the request
     misdirected: bool  # the address now belongs to another target
-    signed: bool
-    own: bool  # the answer carries the id of this request
-    named: bool  # the answer carries the id of a request
-    encoded: bool
+    has_seal: bool
+    matches_request: bool  # the answer carries the id of this request
+    has_request_id: bool  # the answer carries the id of a request
+    is_encoded: bool
     closing: bool
 
     @property
@@ -41,17 +41,17 @@
         return 200 <= self.status < 300
 
     @property
-    def own_or_unnamed(self) -> bool:
+    def names_no_other_request(self) -> bool:
         """Return whether the answer carries no id of another request."""
-        return self.own or not self.named
+        return self.matches_request or not self.has_request_id
 
     @property
     def trusted(self) -> bool:
         """Return whether the answer is verified as the target's for this request."""
-        return self.signed and self.own and not self.encoded
+        return self.has_seal and self.matches_request and not self.is_encoded
 
 
-class Border(Protocol):
+class RequestTranslator(Protocol):
     """Translate requests and answers; each wire protocol has one implementation."""
 
     def read_request(
--- a/trefoilstage/components/forwarding/workload.py
+++ b/trefoilstage/components/forwarding/workload.py
@@ -13,11 +13,6 @@
 
 from mode import Service
 
-from trefoilstage.components.forwarding.heard_work import (
-    MAX_REPORT_AGE_S,
-    HomeTotals,
-    PeerWork,
-)
 from trefoilstage.components.forwarding.messages import (
     CachedPrompt,
     WorkQuery,
@@ -25,9 +20,14 @@
     WorkTotals,
 )
 from trefoilstage.components.forwarding.models import PromptPart
+from trefoilstage.components.forwarding.peer_work import (
+    MAX_REPORT_AGE_S,
+    HomeTotals,
+    PeerWork,
+)
+from trefoilstage.components.forwarding.prefill_speed import PrefillTotals
 from trefoilstage.components.forwarding.prompt_cache import PromptCaches
-from trefoilstage.components.forwarding.reading_board import SharedPrefillSpeeds
-from trefoilstage.components.forwarding.reading_pace import PrefillTotals
+from trefoilstage.components.forwarding.shared_prefill_speeds import SharedPrefillSpeeds
 from trefoilstage.components.forwarding.work import Work, sum_work
 from trefoilstage.components.peers.links import PeerLinks
 from trefoilstage.components.peers.server import PeerServer
--- a/trefoilstage/fleet_host.py
+++ b/trefoilstage/fleet_host.py
@@ -11,9 +11,9 @@
 from trefoilstage.components.fleet.messages import FLEET_CODEC
 from trefoilstage.components.fleet.metrics import MetricsServer
 from trefoilstage.components.fleet.watcher import BoardWatcher
-from trefoilstage.components.forwarding.border import Border
 from trefoilstage.components.forwarding.sender import TargetSender, open_target_session
 from trefoilstage.components.forwarding.server import ForwardingServer
+from trefoilstage.components.forwarding.translator import RequestTranslator
 from trefoilstage.components.peers.links import PeerLinks
 from trefoilstage.components.peers.server import PeerServer
 from trefoilstage.components.views.store import Store
@@ -52,7 +52,7 @@
         *,
         settings: FleetSettings,
         store: Store,
-        border: Border,
+        translator: RequestTranslator,
         watcher: BoardWatcher,
         board: FleetBoard,
         process_start: ProcessStart,
@@ -63,7 +63,7 @@
         self._process_start = process_start
         self._settings = settings
         self._store = store
-        self._border = border
+        self._translator = translator
         self._watcher = watcher
         self._board = board
         self.drain_requested = asyncio.Event()
@@ -88,7 +88,7 @@
             watcher=self._watcher,
             links=links,
             peers=peers,
-            sender=TargetSender(session=self._session, border=self._border),
+            sender=TargetSender(session=self._session, translator=self._translator),
             probe=ConnectProbe(outbound_address=settings.address),
             process_start=self._process_start,
         )
@@ -98,7 +98,7 @@
         self._server = ForwardingServer(
             board=self._board,
             settings=settings,
-            border=self._border,
+            translator=self._translator,
             pipeline=parts.pipeline,
         )
         metrics = MetricsServer(
@@ -175,7 +175,7 @@
         # it goes on using all of them. A closed port would cost those callers their
         # request, so the port stays open to the end.
         await asyncio.sleep(max(0.0, min(ACCEPT_WHILE_DRAINING_S, ends - loop.time())))
-        self._server.refuse_long_requests()
+        self._server.refuse_streams()
         # Where most hosts of a data centre drain, quick calls never cease. Waiting for
         # a pause among them, a host stayed to the end of its grace and refused streams
         # that its successor could have served: 204 within 8 s of hosts stopped in turn.
@@ -194,7 +194,7 @@
         ended = await self._server.drain(max(0.0, ends - loop.time()))
         if not ended:
             log_event(Event.DRAIN_INCOMPLETE, host=self._board.host)
-            await self._server.cut_off()
+            await self._server.cancel_requests()
         await self._leave()
 
     async def _leave(self) -> None:
--- a/trefoilstage/platform/headers.py
+++ b/trefoilstage/platform/headers.py
@@ -3,16 +3,16 @@
 from collections.abc import Iterable, Mapping
 from typing import Final
 
-from trefoilstage.components.forwarding.border import (
-    AnswerHead,
-    ForwardOptions,
-    MalformedRequestError,
-)
 from trefoilstage.components.forwarding.models import (
     CallerRequest,
     PromptPart,
     TargetEntry,
 )
+from trefoilstage.components.forwarding.translator import (
+    AnswerHead,
+    ForwardOptions,
+    MalformedRequestError,
+)
 
 MS_PER_S = 1000
 
@@ -66,7 +66,7 @@
 )
 
 
-class HeaderBorder:
+class HeaderTranslator:
     """Translate between the platform's headers and the pipeline's types."""
 
     def read_request(
@@ -77,11 +77,11 @@
         values = {name.lower(): value for name, value in pairs}
         prompt_tokens, output_tokens = read_token_count(values.get("token-count"))
         path, _, _ = raw_target.partition("?")
-        request = values.get("attempt-id", "")
-        if len(request) > MAX_ID_LENGTH:
+        request_id = values.get("attempt-id", "")
+        if len(request_id) > MAX_ID_LENGTH:
             raise MalformedRequestError("the request's id is too long")
         return CallerRequest(
-            request=request,
+            request_id=request_id,
             method=method,
             host=values.get("host", "").partition(":")[0].lower(),
             path=path,
@@ -124,11 +124,11 @@
             status=status,
             not_run=refused,
             misdirected=status == MISDIRECTED,
-            signed=SEAL in headers,
+            has_seal=SEAL in headers,
             # An answer to another request may arrive late on a connection.
-            named=ATTEMPT_ID in headers,
-            own=headers.get(ATTEMPT_ID) == request.request,
-            encoded="Content-Encoding" in headers,
+            has_request_id=ATTEMPT_ID in headers,
+            matches_request=headers.get(ATTEMPT_ID) == request.request_id,
+            is_encoded="Content-Encoding" in headers,
             closing=headers.get("Connection", "").lower() == "close",
         )
 
@@ -138,7 +138,9 @@
 
     def write_refusal(self, request: CallerRequest | None) -> list[tuple[str, str]]:
         """Return the headers that name the request in an answer of our own."""
-        return [(ATTEMPT_ID, request.request)] if request and request.request else []
+        return (
+            [(ATTEMPT_ID, request.request_id)] if request and request.request_id else []
+        )
 
 
 def keep_end_to_end(
--- a/trefoilstage/platform/process.py
+++ b/trefoilstage/platform/process.py
@@ -25,7 +25,7 @@
     decode_configuration,
     decode_target,
 )
-from trefoilstage.platform.headers import HeaderBorder
+from trefoilstage.platform.headers import HeaderTranslator
 from trefoilstage.platform.settings import load_platform_settings
 from trefoilstage.platform.store import StoreClient
 from trefoilstage.util.process_start import ProcessStart, read_process_start
@@ -50,7 +50,7 @@
         host = FleetHost(
             settings=settings,
             store=StoreClient(session=session, url=settings.store_url),
-            border=HeaderBorder(),
+            translator=HeaderTranslator(),
             watcher=BoardWatcher(
                 board=board,
                 configuration_key=CONFIGURATION_KEY,
