--- a/tests/components/crashes/test_evidence.py
+++ b/tests/components/crashes/test_evidence.py
@@ -37,41 +37,41 @@
         """Guard against blocking a request for crashes that coincide with it."""
         evidence = CrashEvidence()
         add_all(evidence, "a", "xy")
-        self.assertFalse(evidence.blocked)
+        self.assertFalse(evidence.blocked_fingerprints)
         add_all(evidence, "a", "z")
-        self.assertEqual(evidence.blocked, {"a"})
+        self.assertEqual(evidence.blocked_fingerprints, {"a"})
 
     def test_crashes_at_one_target_count_once(self) -> None:
         """Guard against counting a crash again that several hosts observed."""
         evidence = CrashEvidence()
         for _ in range(2 * MIN_CRASHED_TARGETS):
             add_all(evidence, "a", "x")
-        self.assertFalse(evidence.blocked)
+        self.assertFalse(evidence.blocked_fingerprints)
 
     def test_harmless_request_beside_the_cause_is_not_blocked(self) -> None:
         """Guard against blocking requests interrupted by a crashing request."""
         evidence = CrashEvidence()
         add_all(evidence, "crashing", "vwxyz")
         add_all(evidence, "harmless", "wxy")
-        self.assertEqual(evidence.blocked, {"crashing"})
+        self.assertEqual(evidence.blocked_fingerprints, {"crashing"})
 
     def test_two_crashing_requests_are_both_blocked(self) -> None:
         """Guard against a crashing request that conceals another."""
         evidence = CrashEvidence()
         add_all(evidence, "a", "uvw")
         add_all(evidence, "b", "wxyz")
-        self.assertEqual(evidence.blocked, {"b"})
+        self.assertEqual(evidence.blocked_fingerprints, {"b"})
         add_all(evidence, "a", "t")
-        self.assertEqual(evidence.blocked, {"a", "b"})
+        self.assertEqual(evidence.blocked_fingerprints, {"a", "b"})
 
     def test_wrong_choice_between_equal_requests_is_corrected(self) -> None:
         """Guard against a harmless request that stays blocked instead of the cause."""
         evidence = CrashEvidence()
         add_all(evidence, "zz-harmless", "xyz")
         add_all(evidence, "crashing", "xyz")
-        self.assertEqual(len(evidence.blocked), 1)
+        self.assertEqual(len(evidence.blocked_fingerprints), 1)
         add_all(evidence, "crashing", "v")
-        self.assertEqual(evidence.blocked, {"crashing"})
+        self.assertEqual(evidence.blocked_fingerprints, {"crashing"})
 
     def test_request_without_crashes_is_unblocked(self) -> None:
         """Guard against a request that stays blocked after it proved harmless."""
@@ -80,7 +80,7 @@
         for crash in evidence.list_crashes("a"):
             evidence.remove(crash)
         self.assertFalse(evidence.has_crashes("a"))
-        self.assertFalse(evidence.blocked)
+        self.assertFalse(evidence.blocked_fingerprints)
 
 
 class BoundsTest(unittest.TestCase):
@@ -92,7 +92,7 @@
         add_all(evidence, "crashing", "xyz")
         for number in range(1_000):
             evidence.add(make_crash(f"r-{number}", "t"), 1.0)
-        self.assertEqual(evidence.blocked, {"crashing"})
+        self.assertEqual(evidence.blocked_fingerprints, {"crashing"})
         self.assertEqual(len(evidence.seen_at), 50)
         self.assertEqual(sum(map(len, evidence.targets_by_fingerprint.values())), 50)
 
@@ -101,7 +101,7 @@
         evidence = CrashEvidence(max_crashes=MIN_CRASHED_TARGETS)
         add_all(evidence, "a", "xyz")
         add_all(evidence, "b", "uvw")
-        self.assertEqual(evidence.blocked, {"b"})
+        self.assertEqual(evidence.blocked_fingerprints, {"b"})
 
     def test_suspects_expire_before_blocked_requests(self) -> None:
         """Guard against records that are kept permanently."""
@@ -148,7 +148,7 @@
                 evidence.add(
                     make_crash(f"r-{number}", f"{target}@{crashed_at}"), crashed_at
                 )
-                blocked |= evidence.blocked
+                blocked |= evidence.blocked_fingerprints
                 at = crashed_at
         return len(blocked), len(n_interruptions)
 
--- a/tests/components/crashes/test_watcher.py
+++ b/tests/components/crashes/test_watcher.py
@@ -67,7 +67,7 @@
         )
 
     async def interrupt(self, fingerprint: str, target: str, progress_s: float) -> None:
-        self.watcher.note_cut(
+        self.watcher.record_interruption(
             fingerprint, target=target, address=f"{target}:1", progress_s=progress_s
         )
         await asyncio.sleep(0)
@@ -77,9 +77,9 @@
         """Guard against a request that crashes one target after another."""
         for target in ("x", "y"):
             await self.interrupt("a", target, SHORT_PROGRESS_S)
-        self.assertIsNone(self.watcher.check("a"))
+        self.assertIsNone(self.watcher.get_refusal("a"))
         await self.interrupt("a", "z", SHORT_PROGRESS_S)
-        refusal = self.watcher.check("a")
+        refusal = self.watcher.get_refusal("a")
         assert refusal is not None
         self.assertIs(refusal.reason, Reason.CRASHES_TARGETS)
         self.assertAlmostEqual(
@@ -93,12 +93,12 @@
         for target in ("x", "y", "z"):
             await self.interrupt("a", target, 0.0)
         self.assertEqual(self.parts.recorded, [])
-        self.assertIsNone(self.watcher.check("a"))
+        self.assertIsNone(self.watcher.get_refusal("a"))
 
     async def test_requests_interrupted_together_share_one_probe(self) -> None:
         """Guard against a connection to the target for each interrupted request."""
         for fingerprint in ("a", "b", "c"):
-            self.watcher.note_cut(
+            self.watcher.record_interruption(
                 fingerprint, target="x", address="x:1", progress_s=0.0
             )
         await asyncio.sleep(0)
@@ -111,7 +111,7 @@
         for target in ("x", "y", "z"):
             await self.interrupt("a", target, SHORT_PROGRESS_S)
         await self.interrupt("a", "v", LONG_PROGRESS_S)
-        self.assertIsNone(self.watcher.check("a"))
+        self.assertIsNone(self.watcher.get_refusal("a"))
         self.assertEqual(self.parts.cleared, ["a"])
         self.assertNotIn("v:1", self.parts.probed)
 
@@ -119,14 +119,14 @@
         """Guard against a request that stays suspected after a target completed it."""
         await self.interrupt("a", "x", SHORT_PROGRESS_S)
         for _ in range(2):
-            self.watcher.note_sound("a")
+            self.watcher.record_harmless("a")
         self.assertEqual(self.parts.cleared, ["a"])
 
     async def test_crash_after_the_caller_left_is_recorded(self) -> None:
         """Guard against crashes that go unnoticed because the caller left."""
         await self.interrupt("a", "x", SHORT_PROGRESS_S)
         for fingerprint in ("a", "unknown"):
-            self.watcher.note_left(
+            self.watcher.record_caller_left(
                 fingerprint, target="y", address="y:1", progress_s=0.0
             )
         await asyncio.sleep(1.1 * PROBE_DELAY_S)
@@ -139,10 +139,10 @@
         await self.watcher._handle_report(report)
         self.assertEqual(self.parts.written_for_peer, list(report.crashes))
         record = KeyedRecord(key=make_crash("a", "z").key, offset=1, value=b"1")
-        self.watcher.take_records([record])
-        self.assertIsNotNone(self.watcher.check("a"))
-        self.watcher.take_records([KeyedRecord(key=record.key, offset=2, value=None)])
-        self.assertIsNone(self.watcher.check("a"))
+        self.watcher.apply_records([record])
+        self.assertIsNotNone(self.watcher.get_refusal("a"))
+        self.watcher.apply_records([KeyedRecord(key=record.key, offset=2, value=None)])
+        self.assertIsNone(self.watcher.get_refusal("a"))
 
     async def test_malformed_record_is_skipped(self) -> None:
         """Guard against a malformed record that stops the handling of others."""
@@ -150,8 +150,8 @@
             KeyedRecord(key=key, offset=number, value=b"1")
             for number, key in enumerate(("", "no separator", "/", "a/x"))
         ]
-        self.watcher.take_records(records)
-        self.assertEqual(list(self.watcher.evidence.list_all()), ["a/x"])
+        self.watcher.apply_records(records)
+        self.assertEqual(list(self.watcher.evidence.get_seen_times()), ["a/x"])
 
 
 if __name__ == "__main__":
--- a/tests/components/forwarding/test_pipeline.py
+++ b/tests/components/forwarding/test_pipeline.py
@@ -76,10 +76,10 @@
 
     def settle(self, *_: object) -> None: ...
 
-    def check(self, _: str) -> Refusal | None:
+    def get_refusal(self, _: str) -> Refusal | None:
         return None
 
-    def note_sound(self, _: str) -> None: ...
+    def record_harmless(self, _: str) -> None: ...
 
     async def send(self, *_: object) -> OpenAnswer:
         head = AnswerHead(
@@ -212,7 +212,7 @@
         self.n_held += 1
         return await super().hold()
 
-    def check(self, _: str) -> Refusal | None:
+    def get_refusal(self, _: str) -> Refusal | None:
         self.n_passed -= 1
         return BLOCKED if self.n_passed < 0 else None
 
@@ -222,7 +222,7 @@
     def take_retry(self, _: str) -> bool:
         return True
 
-    def note_cut(self, *_: object, **__: object) -> None: ...
+    def record_interruption(self, *_: object, **__: object) -> None: ...
 
     async def send(self, *_: object) -> Any:
         self.n_sent += 1
--- a/tests/components/forwarding/test_targets.py
+++ b/tests/components/forwarding/test_targets.py
@@ -76,13 +76,13 @@
     async def test_restart_clears_an_ejection(self) -> None:
         """Eject a target, then restart it under the same name."""
         old = make_target("i-1", started_ms=1)
-        self.board.targets.add(old)
-        self.board.targets.add(make_target("i-2", started_ms=1))
+        self.board.targets.apply_entry(old)
+        self.board.targets.apply_entry(make_target("i-2", started_ms=1))
         self.chooser.record_answer(old, NotRun(reason="timeout", timed_out=True))
         self.assertEqual(self.choose(), "i-2@1")
         busy = make_target("i-2", started_ms=1)
         self.chooser.add_request(busy, (), CandidateInfo())
-        self.board.targets.add(make_target("i-1", started_ms=2))
+        self.board.targets.apply_entry(make_target("i-1", started_ms=2))
         self.assertEqual(self.choose(), "i-1@2")
 
     async def test_target_restarted_with_its_clock_set_back_is_used(self) -> None:
@@ -92,8 +92,8 @@
         request finds no target at the old address, and the next one uses the new entry.
         """
         old = make_target("i-1", started_ms=5_000)
-        self.board.targets.add(old)
-        self.board.targets.add(
+        self.board.targets.apply_entry(old)
+        self.board.targets.apply_entry(
             make_target("i-1", started_ms=3_000, address="127.0.0.1:2")
         )
         self.assertEqual(self.choose(), "i-1@5000")
@@ -104,7 +104,7 @@
         """Restart a target a hundred times; health records do not accumulate."""
         for number in range(100):
             target = make_target("i-1", started_ms=number)
-            self.board.targets.add(target)
+            self.board.targets.apply_entry(target)
             self.chooser.add_request(target, (), CandidateInfo())
         self.assertLessEqual(len(self.chooser._healths), 2)
 
@@ -143,7 +143,7 @@
         self.board.configuration = FleetConfiguration(services={"assistant": service})
         targets = [make_target("i-1"), make_target("i-2")]
         for target in targets:
-            self.board.targets.add(target)
+            self.board.targets.apply_entry(target)
         prompt = (PromptPart(name="dossier", n_tokens=60_000),)
         for target in targets:
             sent = self.chooser.add_request(target, prompt, CandidateInfo())
--- a/tests/components/forwarding/test_workload.py
+++ b/tests/components/forwarding/test_workload.py
@@ -54,7 +54,7 @@
     def register_target(self, name: str) -> None:
         """Register a target on all hosts."""
         for workload in self.workloads.values():
-            workload._board.targets.add(make_target(name))
+            workload._board.targets.apply_entry(make_target(name))
 
     def queue_coroutine(self, coroutine: Any) -> Any:
         """Queue a controller's coroutine, to run it within the test."""
@@ -80,7 +80,7 @@
         self.queried: list[list[str]] = []
         board = make_board("host-0", [f"host-{number}" for number in range(20)])
         for number in range(30):
-            board.targets.add(make_target(f"i-{number}"))
+            board.targets.apply_entry(make_target(f"i-{number}"))
         workload = mock.Mock()
         workload.query_homes = self.query_homes
         workload.get_work.side_effect = lambda name: work
--- a/tests/components/targets/test_health.py
+++ b/tests/components/targets/test_health.py
@@ -11,8 +11,8 @@
     def fail_requests(self, health: TargetHealth, now: float, n_times: int) -> None:
         """Record requests that fail immediately."""
         for _ in range(n_times):
-            health.start(retry=False)
-            health.note_failure(now)
+            health.record_send(retry=False)
+            health.record_failure(now)
 
     def test_consecutive_failures_eject_and_one_probe_restores(self) -> None:
         health = TargetHealth()
@@ -20,9 +20,9 @@
         self.assertFalse(health.may_send(0.1, retry=False))
         later = health.compute_wait_s(0.0) + 0.01
         self.assertTrue(health.may_send(later, retry=False))
-        health.start(retry=False)
+        health.record_send(retry=False)
         self.assertFalse(health.may_send(later, retry=False), "a second probe")
-        health.note_answer()
+        health.record_success()
         self.assertTrue(health.may_send(later, retry=False))
 
     def test_connect_timeout_ejects_immediately(self) -> None:
@@ -31,11 +31,11 @@
         Three callers of each host waited 0.4 s before the target was ejected.
         """
         health = TargetHealth()
-        health.start(retry=False)
-        self.assertTrue(health.note_silence(1.0))
+        health.record_send(retry=False)
+        self.assertTrue(health.record_connect_timeout(1.0))
         self.assertFalse(health.may_send(1.1, retry=False))
-        health.start(retry=False)
-        health.note_answer()
+        health.record_send(retry=False)
+        health.record_success()
         self.assertTrue(health.may_send(1.2, retry=False))
 
     def test_failed_probe_doubles_the_ejection(self) -> None:
@@ -49,16 +49,16 @@
         health = TargetHealth()
         self.fail_requests(health, 0.0, MAX_FAILURES)
         before = health.ejected_until
-        health.note_failure(0.2)
+        health.record_failure(0.2)
         self.assertEqual(health.ejected_until, before)
 
     def test_retries_are_limited_to_a_tenth_of_first_attempts(self) -> None:
         health = TargetHealth()
         n_retries = 0
         for _ in range(1_000):
-            health.start(retry=False)
+            health.record_send(retry=False)
             if health.may_send(0.0, retry=True):
-                health.start(retry=True)
+                health.record_send(retry=True)
                 n_retries += 1
         self.assertLessEqual(n_retries, 110)
         self.assertGreaterEqual(n_retries, 100)
--- a/tests/components/test_stalled_connects.py
+++ b/tests/components/test_stalled_connects.py
@@ -27,7 +27,7 @@
     TargetClient,
     TargetRefusedError,
 )
-from trefoilstage.components.targets.models import Generation
+from trefoilstage.components.targets.models import GenerationRequest
 from trefoilstage.helpers.sends import open_session
 from trefoilstage.util.stalls import STALLED_S
 
@@ -65,7 +65,7 @@
 
     async def test_prompt_is_sent_when_its_host_wakes(self) -> None:
         """Guard against a refusal for a target that is well."""
-        generation = Generation(
+        generation_request = GenerationRequest(
             request="r-1",
             workspace="school",
             model="assistant",
@@ -80,7 +80,7 @@
         target = mock.Mock(url=f"http://{LOOPBACK}:{self.port}")
         refused = self.assertRaises(TargetRefusedError)
         with freeze_at_connect(CONNECT_TIMEOUT_S), refused as caught:
-            await anext(client.generate(target, generation))
+            await anext(client.generate(target, generation_request))
         self.assertTrue(caught.exception.is_busy, caught.exception)
 
     async def test_probe_of_a_live_target_is_made_anew_after_a_stall(self) -> None:
--- a/trefoilstage/components/admission/controller.py
+++ b/trefoilstage/components/admission/controller.py
@@ -103,7 +103,7 @@
     def leave(self, job: Job, slot: Place, *, served: bool) -> None:
         """Release a slot and wake the first request in the queue."""
         now = self._timer.now()
-        self._router.note_end(slot.candidate.name, now)
+        self._router.record_end(slot.candidate.name, now)
         queue = self._get_queue(job.model)
         if served:
             queue.capacity.note_duration(now - slot.started_at)
@@ -151,19 +151,19 @@
         refusal: Refusal | None = None
         while True:
             now = self._timer.now()
-            choice = self._router.choose(job, excluded, now, retry=retry)
+            choice = self._router.choose_target(job, excluded, now, retry=retry)
             if isinstance(choice, Refusal):
                 return refusal or choice
             candidate = choice.candidate
             # The start is counted before the watts are held, so that two requests
             # that wait for watts at the same time do not use the same last slot.
-            self._router.note_start(candidate.name, now, retry=retry)
+            self._router.record_start(candidate.name, now, retry=retry)
             try:
                 hold = await self._power.hold(
                     job.request, candidate.name, candidate.config
                 )
             except BaseException:
-                self._router.note_unsent(candidate.name, self._timer.now())
+                self._router.record_unsent(candidate.name, self._timer.now())
                 raise
             if not isinstance(hold, Refusal):
                 return Place(
@@ -173,9 +173,9 @@
                     n_new_tokens=choice.n_new_tokens,
                     started_at=self._timer.now(),
                 )
-            self._router.note_unsent(candidate.name, self._timer.now())
+            self._router.record_unsent(candidate.name, self._timer.now())
             refusal = hold
-            excluded |= self._router.list_site(candidate.config.site)
+            excluded |= self._router.list_targets_at_site(candidate.config.site)
 
     async def _tick(self) -> None:
         now = self._timer.now()
--- a/trefoilstage/components/callers/generation.py
+++ b/trefoilstage/components/callers/generation.py
@@ -10,7 +10,7 @@
 from trefoilstage.components.callers.models import Caller, ChatRequest
 from trefoilstage.components.routing.choice import list_candidates
 from trefoilstage.components.targets.dispatcher import Dispatcher
-from trefoilstage.components.targets.models import Chunk, Delivery, Job, Usage
+from trefoilstage.components.targets.models import Chunk, Job, JobResult, Usage
 from trefoilstage.const import BUDGET_ACCOUNT_PREFIX
 from trefoilstage.helpers.verdict import Effect, Reason, Refusal
 
@@ -20,22 +20,22 @@
     """Describe what a generation has produced so far."""
 
     chunks: list[Chunk] = field(default_factory=list)
-    delivery: Delivery = field(default_factory=Delivery)
+    job_result: JobResult = field(default_factory=JobResult)
     refusal: Refusal | None = None
 
     @property
     def usage(self) -> Usage | None:
         """Return the token usage that the target reported, if any."""
-        return self.delivery.usage
+        return self.job_result.usage
 
     @usage.setter
     def usage(self, usage: Usage | None) -> None:
-        self.delivery.usage = usage
+        self.job_result.usage = usage
 
     @property
     def target(self) -> str:
         """Return the target that accepted the request, "" without one."""
-        return self.delivery.target
+        return self.job_result.target
 
     @property
     def text(self) -> str:
@@ -132,11 +132,11 @@
     ) -> AsyncIterator[Chunk]:
         job = make_job(caller, chat, max_output_tokens, reservation)
         try:
-            async for chunk in self._dispatcher.run(job, result.delivery):
+            async for chunk in self._dispatcher.run(job, result.job_result):
                 result.chunks.append(chunk)
                 yield chunk
         finally:
-            result.refusal = result.delivery.refusal
+            result.refusal = result.job_result.refusal
 
     def _list_fencing_urls(self, model: str) -> list[str]:
         candidates = list_candidates(self._blackboard.configuration.targets, model)
@@ -162,7 +162,7 @@
     async def _cancel_and_settle(
         self, caller: Caller, result: GenerationResult, reservation: Reservation
     ) -> None:
-        spent_tokens = await self._dispatcher.cancel(caller.request, result.delivery)
+        spent_tokens = await self._dispatcher.cancel(caller.request, result.job_result)
         self._budget.settle(
             reservation, reservation.tokens if spent_tokens is None else spent_tokens
         )
@@ -183,8 +183,8 @@
         model=chat.model,
         body=json.dumps(body).encode(),
         contents=contents,
-        n_prompt=sum(map(len, contents)),
-        n_output=max_output_tokens,
+        n_prompt_chars=sum(map(len, contents)),
+        n_output_tokens=max_output_tokens,
         priority=caller.priority,
         deadline_s=caller.deadline_s,
         urls=reservation.targets,
--- a/trefoilstage/components/crashes/evidence.py
+++ b/trefoilstage/components/crashes/evidence.py
@@ -31,7 +31,7 @@
     targets_by_fingerprint: dict[str, set[str]] = field(
         default_factory=lambda: defaultdict(set)
     )
-    blocked: frozenset[str] = frozenset()  # fingerprints
+    blocked_fingerprints: frozenset[str] = frozenset()
 
     def add(self, crash: Crash, now: float) -> bool:
         """Add a crash; return whether it is new."""
@@ -50,7 +50,7 @@
             self._delete(crash)
             self._update_blocked(crash.fingerprint)
 
-    def list_all(self) -> dict[str, float]:
+    def get_seen_times(self) -> dict[str, float]:
         """Return the loop time at which each crash was added, by the crash's key."""
         return {crash.key: seen_at for crash, seen_at in self.seen_at.items()}
 
@@ -85,13 +85,13 @@
     def _get_retention_s(self, crash: Crash) -> float:
         return (
             BLOCKED_RETENTION_S
-            if crash.fingerprint in self.blocked
+            if crash.fingerprint in self.blocked_fingerprints
             else SUSPECT_RETENTION_S
         )
 
     def _find_oldest(self, newest: str) -> Crash:
         # The crashes of a blocked request must outlast a burst of other crashes.
-        kept = self.blocked | {newest}
+        kept = self.blocked_fingerprints | {newest}
         suspects = (crash for crash in self.seen_at if crash.fingerprint not in kept)
         return next(suspects, next(iter(self.seen_at)))
 
@@ -104,8 +104,8 @@
 
     def _update_blocked(self, changed: str) -> None:
         n_crashes = len(self.targets_by_fingerprint.get(changed, ()))
-        if n_crashes >= MIN_CRASHED_TARGETS or changed in self.blocked:
-            self.blocked = find_causes(self.targets_by_fingerprint)
+        if n_crashes >= MIN_CRASHED_TARGETS or changed in self.blocked_fingerprints:
+            self.blocked_fingerprints = find_causes(self.targets_by_fingerprint)
 
 
 def find_causes(targets_by_fingerprint: Mapping[str, Iterable[str]]) -> frozenset[str]:
--- a/trefoilstage/components/crashes/watcher.py
+++ b/trefoilstage/components/crashes/watcher.py
@@ -68,16 +68,16 @@
         """Stop removing expired crashes."""
         self._unsubscribe()
 
-    def check(self, fingerprint: str) -> Refusal | None:
+    def get_refusal(self, fingerprint: str) -> Refusal | None:
         """Return a refusal for a blocked request, None for any other."""
-        if fingerprint not in self.evidence.blocked:
+        if fingerprint not in self.evidence.blocked_fingerprints:
             return None
         return Refusal(
             reason=Reason.CRASHES_TARGETS,
             retry_after_s=self.evidence.compute_wait_s(fingerprint, self._now()),
         )
 
-    def note_cut(
+    def record_interruption(
         self, fingerprint: str, *, target: str, address: str, progress_s: float
     ) -> None:
         """Record that a target broke off a response or sent none.
@@ -85,11 +85,11 @@
         `progress_s` is the time for which the response had been arriving.
         """
         if progress_s > MAX_SUSPECT_PROGRESS_S:
-            self.note_sound(fingerprint)
+            self.record_harmless(fingerprint)
             return
         self._suspect(fingerprint, target, address)
 
-    def note_left(
+    def record_caller_left(
         self, fingerprint: str, *, target: str, address: str, progress_s: float
     ) -> None:
         """Record that a caller left, or its deadline passed, before the response ended.
@@ -114,14 +114,14 @@
         if not is_being_probed:
             self.add_future(self._probe_target(target, address))
 
-    def note_sound(self, fingerprint: str) -> None:
+    def record_harmless(self, fingerprint: str) -> None:
         """Record that a target ran a request without crashing."""
         if self.evidence.has_crashes(fingerprint):
             crashes = self.evidence.list_crashes(fingerprint)
             self._remove_crashes(crashes, "ran")
             self._recorder.clear(fingerprint, crashes)
 
-    def take_records(self, records: Iterable[KeyedRecord]) -> None:
+    def apply_records(self, records: Iterable[KeyedRecord]) -> None:
         """Apply crash records from the store."""
         for record in records:
             try:
@@ -162,18 +162,18 @@
             self._recorder.write_for_peer(report.crashes)
 
     def _add_crash(self, crash: Crash) -> None:
-        previously_blocked = self.evidence.blocked
+        previously_blocked = self.evidence.blocked_fingerprints
         if self.evidence.add(crash, self._now()):
             self._log_changes(previously_blocked, "crashed")
 
     def _remove_crashes(self, crashes: Sequence[Crash], reason: str) -> None:
-        previously_blocked = self.evidence.blocked
+        previously_blocked = self.evidence.blocked_fingerprints
         for crash in crashes:
             self.evidence.remove(crash)
         self._log_changes(previously_blocked, reason)
 
     def _log_changes(self, previously_blocked: frozenset[str], reason: str) -> None:
-        blocked = self.evidence.blocked
+        blocked = self.evidence.blocked_fingerprints
         for fingerprint in blocked - previously_blocked:
             log_event(
                 Event.REQUEST_BLOCKED,
--- a/trefoilstage/components/fleet/watcher.py
+++ b/trefoilstage/components/fleet/watcher.py
@@ -41,7 +41,7 @@
             except MalformedMessageError as error:
                 # A configuration that was in force stays in force.
                 if topic is Topic.TARGETS:
-                    self._board.targets.disregard(record.key)
+                    self._board.targets.unlist(record.key)
                 log_event(
                     Event.RECORD_MALFORMED,
                     topic=topic,
@@ -74,12 +74,12 @@
             # in the outage. Taken for gone, all targets would be missing here until
             # they register again, and each request refused meanwhile.
             back_at = now if store.out_of_reach else store.back_at
-            targets.drop(record.key, now, back_at)
+            targets.apply_removal(record.key, now, back_at)
             log_event(Event.TARGET_DROPPED, target=record.key, offset=record.offset)
             return
         entry = self._decode_target(record.key, record.value)
         known = targets.listed.get(record.key)
-        if not targets.add(entry):
+        if not targets.apply_entry(entry):
             log_event(
                 Event.TARGET_ENTRY_STALE,
                 target=entry.name,
--- a/trefoilstage/components/forwarding/pipeline.py
+++ b/trefoilstage/components/forwarding/pipeline.py
@@ -68,7 +68,7 @@
         """Answer a caller; return a refusal if it got no answer, otherwise None."""
         if state.started_at >= state.deadline:
             return Refusal(reason=Reason.DEADLINE)
-        blocked = self._crashes.check(state.fingerprint)
+        blocked = self._crashes.get_refusal(state.fingerprint)
         if blocked is not None:
             return blocked
         state.service_name = self._pick_service(state.route)
@@ -155,7 +155,7 @@
                 await self._query_candidates(state)
             # The request may have crashed a target since it arrived, sent by this or
             # another host.
-            blocked = self._crashes.check(state.fingerprint)
+            blocked = self._crashes.get_refusal(state.fingerprint)
             if blocked is not None:
                 return failure if state.n_possible_runs else blocked
             target = self._choose_target(state, service)
@@ -303,7 +303,7 @@
             answer.close()
             self._chooser.remove_request(target, state.request.prompt)
         if answer.head.success:
-            self._crashes.note_sound(state.fingerprint)
+            self._crashes.record_harmless(state.fingerprint)
         return True
 
     def _record_invalid_answer(
@@ -319,7 +319,7 @@
             events=state.n_events,
             progress_s=state.progress_s,
         )
-        self._crashes.note_cut(
+        self._crashes.record_interruption(
             state.fingerprint,
             target=target.incarnation,
             address=target.address,
@@ -327,7 +327,7 @@
         )
 
     def _record_cancelled(self, state: RequestState, target: TargetEntry) -> None:
-        self._crashes.note_left(
+        self._crashes.record_caller_left(
             state.fingerprint,
             target=target.incarnation,
             address=target.address,
--- a/trefoilstage/components/forwarding/targets.py
+++ b/trefoilstage/components/forwarding/targets.py
@@ -202,7 +202,7 @@
             prompt_tokens=sent.n_uncached_tokens,
             held_tokens=n_tokens,
         )
-        self._get_health(target).start(retry=False)
+        self._get_health(target).record_send(retry=False)
         return sent
 
     def record_first_token(self, target: TargetEntry, sent: SentPrompt) -> None:
@@ -229,7 +229,7 @@
         self._workload.adjust_work(
             target.incarnation, n_requests=-1, held_tokens=-count_tokens(prompt)
         )
-        self._get_health(target).note_dropped()
+        self._get_health(target).record_inconclusive_end()
 
     def record_answer(
         self, target: TargetEntry, answer: OpenAnswer | NotRun | InvalidAnswer
@@ -239,24 +239,24 @@
         health = self._get_health(target)
         if isinstance(answer, OpenAnswer):
             if answer.head.status < 500:
-                health.note_answer()
+                health.record_success()
                 return
-            failed = health.note_failure(now)
+            failed = health.record_failure(now)
         elif isinstance(answer, NotRun) and answer.misdirected:
-            self._board.targets.remove(target)
+            self._board.targets.remove_incarnation(target)
             log_event(Event.TARGET_REPLACED, target=target.name)
             return
         elif isinstance(answer, NotRun) and answer.busy:
-            health.note_busy(now)
+            health.record_busy(now)
             return
         elif isinstance(answer, NotRun) and answer.host_was_suspended:
             return
         elif isinstance(answer, NotRun) and answer.timed_out:
-            failed = health.note_silence(now)
+            failed = health.record_connect_timeout(now)
         else:
-            failed = health.note_failure(now)
+            failed = health.record_failure(now)
         unreachable = isinstance(answer, NotRun) and answer.unreachable
-        if unreachable and self._board.targets.give_way(target):
+        if unreachable and self._board.targets.switch_to_other_start(target):
             log_event(
                 Event.TARGET_GAVE_WAY,
                 target=target.name,
@@ -268,7 +268,7 @@
 
     def record_broken_answer(self, target: TargetEntry) -> None:
         """Count an answer that broke off as a failure of its target."""
-        self._get_health(target).note_failure(self._timer.now())
+        self._get_health(target).record_failure(self._timer.now())
 
     def _get_health(self, target: TargetEntry) -> TargetHealth:
         # Failures before a restart do not count against the restarted target.
--- a/trefoilstage/components/keys/follower.py
+++ b/trefoilstage/components/keys/follower.py
@@ -75,8 +75,8 @@
             return False
         if sequence != len(run.chunks):
             return False
-        delivery = run.result.delivery
-        delivery.usage = chunk.usage or delivery.usage
+        job_result = run.result.job_result
+        job_result.usage = chunk.usage or job_result.usage
         run.add(chunk)
     return True
 
--- a/trefoilstage/components/power/controller.py
+++ b/trefoilstage/components/power/controller.py
@@ -291,5 +291,8 @@
         # This target would still run what a suspended holder sends after it resumes.
         # So only requests that the target reports as ended are over. A request that
         # it has never received stays charged until the holder itself settles it.
-        answers = [await self._targets.ask(target, request) for request in requests]
+        answers = [
+            await self._targets.get_request_status(target, request)
+            for request in requests
+        ]
         return all(answer is not None and answer.ended for answer in answers)
--- a/trefoilstage/components/routing/router.py
+++ b/trefoilstage/components/routing/router.py
@@ -48,7 +48,7 @@
         self._prefix_map = PrefixMap()
         self._n_choices = 0
 
-    def choose(
+    def choose_target(
         self, job: Job, excluded: frozenset[str], now: float, *, retry: bool
     ) -> ChosenTarget | Refusal:
         """Return a target with free capacity, or a refusal if there is none."""
@@ -93,25 +93,25 @@
             if name in targets and targets[name].model == model
         )
 
-    def list_site(self, site: str) -> frozenset[str]:
+    def list_targets_at_site(self, site: str) -> frozenset[str]:
         """Return the names of the targets at a site."""
         targets = self._blackboard.configuration.targets
         return frozenset(name for name in targets if targets[name].site == site)
 
-    def note_start(self, name: str, now: float, *, retry: bool) -> None:
+    def record_start(self, name: str, now: float, *, retry: bool) -> None:
         """Record that a request is about to be sent to a target."""
         status = self.get_status(name)
         status.load.record_active_change(now, 1)
-        status.health.start(retry=retry)
+        status.health.record_send(retry=retry)
         status.last_used = now
 
-    def note_unsent(self, name: str, now: float) -> None:
+    def record_unsent(self, name: str, now: float) -> None:
         """Remove a request that was counted as started but was not sent."""
         status = self.get_status(name)
         status.load.record_active_change(now, -1)
-        status.health.note_dropped()
+        status.health.record_inconclusive_end()
 
-    def note_end(self, name: str, now: float) -> None:
+    def record_end(self, name: str, now: float) -> None:
         """Record that a request at a target has ended."""
         self.get_status(name).load.record_active_change(now, -1)
 
@@ -160,7 +160,7 @@
         n_cached_tokens = (
             self._prefix_map.count_cached_blocks(candidate.name, blocks) * BLOCK_TOKENS
         )
-        n_prompt_tokens = job.n_prompt // BYTES_PER_TOKEN
+        n_prompt_tokens = job.n_prompt_chars // BYTES_PER_TOKEN
         return ScoredCandidate(
             candidate=candidate,
             n_running=load.estimate_running(now),
--- a/trefoilstage/components/targets/client.py
+++ b/trefoilstage/components/targets/client.py
@@ -12,7 +12,7 @@
     Chunk,
     ChunkBody,
     FenceResponse,
-    Generation,
+    GenerationRequest,
     HealthResponse,
     LoadReport,
     RequestStatus,
@@ -85,7 +85,7 @@
         self._session = session
 
     async def generate(
-        self, target: TargetConfig, generation: Generation
+        self, target: TargetConfig, generation_request: GenerationRequest
     ) -> AsyncGenerator[Chunk, None]:
         """Yield the chunks of a streamed response until its end marker.
 
@@ -93,19 +93,21 @@
         have run the request.
         """
         headers = {
-            HEADER_REQUEST_ID: generation.request,
-            HEADER_WORKSPACE: generation.workspace,
-            HEADER_PRIORITY: str(generation.priority),
-            HEADER_INCARNATION: generation.incarnation,
-            HEADER_FENCING: str(generation.fencing),
-            HEADER_REVISION: str(generation.revision),
+            HEADER_REQUEST_ID: generation_request.request,
+            HEADER_WORKSPACE: generation_request.workspace,
+            HEADER_PRIORITY: str(generation_request.priority),
+            HEADER_INCARNATION: generation_request.incarnation,
+            HEADER_FENCING: str(generation_request.fencing),
+            HEADER_REVISION: str(generation_request.revision),
             "Content-Type": "application/json",
         }
         url = f"{target.url}/v1/chat/completions"
         try:
-            async with await self._post(url, headers, generation) as response:
+            async with await self._post(url, headers, generation_request) as response:
                 raise_for_status(response.status)
-                async for chunk in read_chunks(response.content, generation.request):
+                async for chunk in read_chunks(
+                    response.content, generation_request.request
+                ):
                     yield chunk
         except CONNECT_ERRORS as error:
             raise TargetRefusedError(repr(error)) from error
@@ -113,17 +115,17 @@
             raise TargetBrokenError(repr(error)) from error
 
     async def _post(
-        self, url: str, headers: dict[str, str], generation: Generation
+        self, url: str, headers: dict[str, str], generation_request: GenerationRequest
     ) -> aiohttp.ClientResponse:
         """Send a request; connect again if this process stalled while connecting."""
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + generation.timeout_s
+        deadline = loop.time() + generation_request.timeout_s
         while True:
             attempt = Attempt(once=False)
             try:
                 return await self._session.post(
                     url,
-                    data=generation.body,
+                    data=generation_request.body,
                     headers=headers,
                     timeout=aiohttp.ClientTimeout(
                         total=deadline - loop.time(), sock_connect=CONNECT_TIMEOUT_S
@@ -138,8 +140,8 @@
                     raise
                 log_event(
                     Event.CONNECT_REPEATED,
-                    request=generation.request,
-                    workspace=generation.workspace,
+                    request=generation_request.request,
+                    workspace=generation_request.workspace,
                     url=url,
                 )
 
@@ -148,7 +150,9 @@
         path = f"/v1/requests/{request}/cancel"
         return await self._request_json("POST", target, path, RequestStatus)
 
-    async def ask(self, target: TargetConfig, request: str) -> RequestStatus | None:
+    async def get_request_status(
+        self, target: TargetConfig, request: str
+    ) -> RequestStatus | None:
         """Return the status of a request at its target, None if unknown."""
         return await self._request_json(
             "GET", target, f"/v1/requests/{request}", RequestStatus
--- a/trefoilstage/components/targets/directory.py
+++ b/trefoilstage/components/targets/directory.py
@@ -52,7 +52,7 @@
     # Includes names whose entries were removed.
     starts: dict[str, StartHistory] = field(default_factory=dict)
 
-    def add(self, entry: TargetEntry) -> bool:
+    def apply_entry(self, entry: TargetEntry) -> bool:
         """Apply a target's entry; return whether it belongs to the latest start.
 
         A heartbeat of an ended incarnation may arrive after the first one of its
@@ -80,7 +80,7 @@
             del self.starts[next(iter(self.starts))]
         return history
 
-    def give_way(self, entry: TargetEntry) -> bool:
+    def switch_to_other_start(self, entry: TargetEntry) -> bool:
         """Use the other known start of a target that can't be reached.
 
         Return whether there is one. The two entries change places, so that the live
@@ -106,7 +106,7 @@
         if history is not None:
             history.other = None
 
-    def drop(self, name: str, now: float, store_back_at: float) -> None:
+    def apply_removal(self, name: str, now: float, store_back_at: float) -> None:
         """Handle the removal of a target's entry from the store."""
         self._forget_other(name)
         listed = self.listed.get(name)
@@ -121,14 +121,14 @@
         else:
             del self.listed[name]
 
-    def remove(self, entry: TargetEntry) -> None:
+    def remove_incarnation(self, entry: TargetEntry) -> None:
         """Remove an incarnation whose address now belongs to another target."""
         listed = self.listed.get(entry.name)
         if listed is not None and listed.entry.incarnation == entry.incarnation:
             del self.listed[entry.name]
             self._switch_to_other(entry.name, instead_of=None)
 
-    def disregard(self, name: str) -> None:
+    def unlist(self, name: str) -> None:
         """Stop using a target until a valid entry is received.
 
         A malformed entry may have announced that the target is leaving.
--- a/trefoilstage/components/targets/dispatcher.py
+++ b/trefoilstage/components/targets/dispatcher.py
@@ -12,7 +12,12 @@
     TargetClient,
     TargetRefusedError,
 )
-from trefoilstage.components.targets.models import Chunk, Delivery, Generation, Job
+from trefoilstage.components.targets.models import (
+    Chunk,
+    GenerationRequest,
+    Job,
+    JobResult,
+)
 from trefoilstage.components.targets.serving_check import ServingCheck
 from trefoilstage.helpers.events import Event, log_event
 from trefoilstage.helpers.verdict import Effect, Reason, Refusal
@@ -51,8 +56,8 @@
         self._serving_check = serving_check
         self._timer = timer
 
-    async def run(self, job: Job, delivery: Delivery) -> AsyncIterator[Chunk]:
-        """Yield a job's chunks; store a failure in `delivery.refusal`."""
+    async def run(self, job: Job, job_result: JobResult) -> AsyncIterator[Chunk]:
+        """Yield a job's chunks; store a failure in `job_result.refusal`."""
         excluded: frozenset[str] = frozenset()
         has_begun = False
         n_failed = 0
@@ -62,17 +67,17 @@
                 job, ticket, excluded=excluded, retry=n_failed > 0
             )
             if isinstance(place, Refusal):
-                delivery.refusal = place
+                job_result.refusal = place
                 return
             if not await self._confirm_serving(job, place):
                 excluded |= {place.candidate.name}
                 n_failed += 1
-                delivery.refusal = NO_TARGET
+                job_result.refusal = NO_TARGET
                 continue
-            delivery.refusal = None
+            job_result.refusal = None
             try:
                 async with aclosing(
-                    self._stream_chunks(job, place, delivery)
+                    self._stream_chunks(job, place, job_result)
                 ) as chunks:
                     async for chunk in chunks:
                         has_begun = True
@@ -96,12 +101,12 @@
                     or has_timed_out
                     or not await self._has_run_nothing(job, place)
                 ):
-                    delivery.refusal = TARGET_FAILED
+                    job_result.refusal = TARGET_FAILED
                     return
-                delivery.target = ""
+                job_result.target = ""
                 excluded |= {place.candidate.name}
                 n_failed += 1
-        delivery.refusal = delivery.refusal or Refusal(
+        job_result.refusal = job_result.refusal or Refusal(
             reason=Reason.OVERLOADED, retry_after_s=RETRY_AFTER_FAILURE_S
         )
 
@@ -120,11 +125,11 @@
                 self._finish(job, place, has_ended=True, served=False)
         return confirmed
 
-    async def cancel(self, request: str, delivery: Delivery) -> int | None:
+    async def cancel(self, request: str, job_result: JobResult) -> int | None:
         """Cancel a job and return the tokens that it spent, None if unknown."""
-        if not delivery.target:
+        if not job_result.target:
             return 0
-        target = self._blackboard.configuration.targets.get(delivery.target)
+        target = self._blackboard.configuration.targets.get(job_result.target)
         if target is None:
             return None
         response = await self._targets.cancel(target, request)
@@ -133,36 +138,36 @@
         return response.usage.total
 
     async def _stream_chunks(
-        self, job: Job, place: Place, delivery: Delivery
+        self, job: Job, place: Place, job_result: JobResult
     ) -> AsyncGenerator[Chunk, None]:
         name = place.candidate.name
-        delivery.target = name
+        job_result.target = name
         has_ended = False
         n_unread_tokens = place.n_new_tokens
         self._router.record_prompt_sent(name, place.blocks, n_unread_tokens)
         try:
-            generation = self._make_generation(job, place)
-            stream = self._targets.generate(place.candidate.config, generation)
+            generation_request = self._make_generation_request(job, place)
+            stream = self._targets.generate(place.candidate.config, generation_request)
             async with aclosing(stream) as chunks:
                 async for chunk in chunks:
                     self._router.record_prompt_read(name, n_unread_tokens)
                     n_unread_tokens = 0
-                    delivery.usage = chunk.usage or delivery.usage
+                    job_result.usage = chunk.usage or job_result.usage
                     yield chunk
             has_ended = True
-            self._router.get_status(name).health.note_answer()
+            self._router.get_status(name).health.record_success()
         except TargetRefusedError:
             has_ended = True
-            delivery.target = ""
+            job_result.target = ""
             raise
         finally:
             self._router.record_prompt_read(name, n_unread_tokens)
             self._finish(
-                job, place, has_ended=has_ended, served=delivery.usage is not None
+                job, place, has_ended=has_ended, served=job_result.usage is not None
             )
 
     def _finish(self, job: Job, place: Place, *, has_ended: bool, served: bool) -> None:
-        self._router.get_status(place.candidate.name).health.note_dropped()
+        self._router.get_status(place.candidate.name).health.record_inconclusive_end()
         # Only the target's own response shows that a request has ended there. After a
         # broken stream or a caller's disconnect, the request may still draw power.
         if has_ended:
@@ -171,8 +176,8 @@
             self._power.release_when_ended(place.hold, place.candidate.config)
         self._admission.leave(job, place, served=served)
 
-    def _make_generation(self, job: Job, place: Place) -> Generation:
-        return Generation(
+    def _make_generation_request(self, job: Job, place: Place) -> GenerationRequest:
+        return GenerationRequest(
             request=job.request,
             workspace=job.workspace,
             model=job.model,
@@ -189,7 +194,7 @@
     ) -> None:
         status = self._router.get_status(place.candidate.name)
         if error.is_busy:
-            status.health.note_busy(self._timer.now())
+            status.health.record_busy(self._timer.now())
         elif error.is_fenced:
             self._power.renew(place.candidate.config.site)
         elif not error.is_leaving:
@@ -199,7 +204,7 @@
         name = place.candidate.name
         status = self._router.get_status(name)
         status.failures += 1
-        if status.health.note_failure(self._timer.now()):
+        if status.health.record_failure(self._timer.now()):
             log_event(Event.TARGET_EJECTED, target=name, failures=status.failures)
         log_event(
             Event.TARGET_FAILED,
--- a/trefoilstage/components/targets/health.py
+++ b/trefoilstage/components/targets/health.py
@@ -37,7 +37,7 @@
         """Return the seconds until a request may be sent to the target again."""
         return max(0.0, (self.ejected_until or self.busy_until) - now)
 
-    def start(self, *, retry: bool) -> None:
+    def record_send(self, *, retry: bool) -> None:
         """Record that a request is being sent."""
         self.probing = self.ejected_until is not None
         # First attempts earn retry credit, and each retry uses 1 of it. When most
@@ -45,23 +45,23 @@
         change = -1.0 if retry else RETRY_CREDIT_PER_REQUEST
         self.retries = min(MAX_RETRY_CREDIT, self.retries + change)
 
-    def note_answer(self) -> None:
+    def record_success(self) -> None:
         """Record that the target accepted and answered a request."""
         self.n_failures = 0
         self.n_ejections = 0
         self.ejected_until = None
         self.probing = False
 
-    def note_busy(self, now: float) -> None:
+    def record_busy(self, now: float) -> None:
         """Record a refusal for lack of capacity, which is not a failure."""
         self.probing = False
         self.busy_until = now + BUSY_PAUSE_S
 
-    def note_dropped(self) -> None:
+    def record_inconclusive_end(self) -> None:
         """Record that a request ended without showing whether the target works."""
         self.probing = False
 
-    def note_silence(self, now: float) -> bool:
+    def record_connect_timeout(self, now: float) -> bool:
         """Record a connect timeout; return whether it ejects the target.
 
         One timeout is enough. With the three failures required otherwise, each host let
@@ -70,9 +70,9 @@
         if they count as ordinary failures.
         """
         self.n_failures = max(self.n_failures, MAX_FAILURES - 1)
-        return self.note_failure(now)
+        return self.record_failure(now)
 
-    def note_failure(self, now: float) -> bool:
+    def record_failure(self, now: float) -> bool:
         """Record a failure; return whether it ejects the target."""
         self.n_failures += 1
         self.probing = False
--- a/trefoilstage/components/targets/models.py
+++ b/trefoilstage/components/targets/models.py
@@ -118,15 +118,15 @@
     model: str
     body: bytes
     contents: tuple[str, ...]
-    n_prompt: int
-    n_output: int
+    n_prompt_chars: int
+    n_output_tokens: int
     priority: int
     deadline_s: float
     urls: tuple[str, ...] = ()
 
 
 @dataclass(kw_only=True, slots=True)
-class Delivery:
+class JobResult:
     """Describe where a job ran and how it ended; nothing ran if `target` is empty."""
 
     target: str = ""
@@ -135,7 +135,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Generation:
+class GenerationRequest:
     """Describe a request as it is sent to one target."""
 
     request: str
--- a/trefoilstage/fleet_parts.py
+++ b/trefoilstage/fleet_parts.py
@@ -99,7 +99,7 @@
         if topic is Topic.HOSTS:
             membership.take_records(records)
         elif topic is Topic.CRASHES:
-            crashes.take_records(records)
+            crashes.apply_records(records)
             followers[topic].view.trim(MAX_CRASHES)
         else:
             watcher.take(topic, records, asyncio.get_running_loop().time())
