--- a/trefoilstage/assembly.py
+++ b/trefoilstage/assembly.py
@@ -47,7 +47,7 @@
     """Hold every part of a host."""
 
     session: aiohttp.ClientSession
-    once_session: aiohttp.ClientSession
+    at_most_once_session: aiohttp.ClientSession
     timer: TimerService
     links: PeerLinks
     peer_server: PeerServer
@@ -96,7 +96,7 @@
     """Return the parts of a host, not yet started."""
     generator = random.Random(blackboard.incarnation)
     session = make_session(settings, once=False)
-    once_session = make_session(settings, once=True)
+    at_most_once_session = make_session(settings, once=True)
     timer = TimerService()
     links = PeerLinks(
         outbound_address=get_outbound_address(settings), codec=FRAME_CODEC
@@ -148,12 +148,14 @@
         blackboard=blackboard,
         streams=log.streams,
         budget=budget.budget,
-        client=ServiceClient(session=session, once_session=once_session),
+        client=ServiceClient(
+            session=session, at_most_once_session=at_most_once_session
+        ),
         admission_wait_s=settings.admission_wait_s,
     )
     return HostParts(
         session=session,
-        once_session=once_session,
+        at_most_once_session=at_most_once_session,
         timer=timer,
         links=links,
         peer_server=server,
--- a/trefoilstage/components/booking/client.py
+++ b/trefoilstage/components/booking/client.py
@@ -21,10 +21,13 @@
     """Send a call and report whether any of it can have reached the service."""
 
     def __init__(
-        self, *, session: aiohttp.ClientSession, once_session: aiohttp.ClientSession
+        self,
+        *,
+        session: aiohttp.ClientSession,
+        at_most_once_session: aiohttp.ClientSession,
     ) -> None:
         self._session = session
-        self._once_session = once_session
+        self._at_most_once_session = at_most_once_session
 
     async def send(
         self,
@@ -36,7 +39,7 @@
         timeout_s: float,
     ) -> ServiceResponse | Refusal:
         """Return the response, or a refusal that says whether the call may have run."""
-        session = self._once_session if at_most_once else self._session
+        session = self._at_most_once_session if at_most_once else self._session
         attempt = Attempt(once=at_most_once)
         headers = {
             HEADER_REQUEST_ID: caller.request,
--- a/trefoilstage/host.py
+++ b/trefoilstage/host.py
@@ -158,7 +158,7 @@
     async def on_shutdown(self) -> None:
         """Close the HTTP connections."""
         await self._parts.session.close()
-        await self._parts.once_session.close()
+        await self._parts.at_most_once_session.close()
         log_event(Event.HOST_STOPPED, host=self._settings.host)
 
     def write_dump(self) -> None:
