--- a/tests/components/test_pool.py
+++ b/tests/components/test_draw_pool.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from trefoilstage.components.budget.pool import DrawPool
+from trefoilstage.components.budget.draw_pool import DrawPool
 
 
-class PoolTest(unittest.TestCase):
+class DrawPoolTest(unittest.TestCase):
     """Test which targets of a hold are reported to the draw's witness."""
 
     def test_targets_at_one_address_are_asked_once(self) -> None:
@@ -16,9 +16,9 @@
         one entry per target, 19 tokens were counted as 57, above the retry's 56,
         and the budget paid for one token that no engine had generated.
         """
-        pool = DrawPool(draw="d", account="budget:schools", witness="w")
+        draw = DrawPool(draw="d", account="budget:schools", witness="w")
         urls = ["http://a:1", "http://b:1", "http://a:1", "http://b:1"]
-        hold = pool.add_hold(request="r", key="k", tokens=94, targets=urls)
+        hold = draw.add_hold(request="r", key="k", tokens=94, targets=urls)
         self.assertEqual(hold.targets, (0, 1))
-        second = pool.add_hold(request="s", key="l", tokens=94, targets=urls[1:])
+        second = draw.add_hold(request="s", key="l", tokens=94, targets=urls[1:])
         self.assertEqual(second.targets, (1, 0))
--- a/tests/components/test_policy.py
+++ b/tests/components/test_policy.py
@@ -3,9 +3,13 @@
 import dataclasses
 import unittest
 
-from trefoilstage.components.budget.policy import BudgetPolicy, DrawPolicy, Situation
+from trefoilstage.components.budget.policy import (
+    AccountSnapshot,
+    BudgetPolicy,
+    DrawPolicy,
+)
 
-PLENTIFUL = Situation(
+PLENTIFUL = AccountSnapshot(
     paid=250_000,
     free=160_000,
     drawn=11_000,
--- a/tests/fuzz/ledger_actors.py
+++ b/tests/fuzz/ledger_actors.py
@@ -2,10 +2,10 @@
 
 from dataclasses import dataclass, field
 
-from trefoilstage.components.budget.account import AccountPool
+from trefoilstage.components.budget.account_pool import AccountPool
+from trefoilstage.components.budget.draw_pool import DrawPool
 from trefoilstage.components.budget.messages import Bound, BoundReply
-from trefoilstage.components.budget.pool import DrawPool
-from trefoilstage.components.budget.table import WitnessTable
+from trefoilstage.components.budget.witness_table import WitnessTable
 from trefoilstage.ledger.records import (
     Draw,
     LedgerEnvelope,
@@ -116,7 +116,7 @@
         """Take the verdict on an own record."""
         record = self.pending.pop(sequence, None)
         if isinstance(record, Draw):
-            self.pool.note_draw(record.draw, amount, self.state.draws)
+            self.pool.apply_draw_verdict(record.draw, amount, self.state.draws)
         draw = self.pool.find_draw(getattr(record, "draw", ""))
         if isinstance(record, Return) and draw is not None:
             draw.returning = 0
--- a/tests/fuzz/ledger_world.py
+++ b/tests/fuzz/ledger_world.py
@@ -12,8 +12,12 @@
     Run,
     SimHost,
 )
-from trefoilstage.components.budget.policy import BudgetPolicy, DrawPolicy, Situation
-from trefoilstage.components.budget.pool import NO_WITNESS
+from trefoilstage.components.budget.draw_pool import NO_WITNESS
+from trefoilstage.components.budget.policy import (
+    AccountSnapshot,
+    BudgetPolicy,
+    DrawPolicy,
+)
 from trefoilstage.components.log_client.checkpoints import unpack_state
 from trefoilstage.components.log_client.folds import LEDGER_STATE_ADAPTER
 from trefoilstage.configuration.schema import Preference
@@ -129,15 +133,15 @@
             return
         usable = max(0, host.pool.count_usable(host.state.draws))
         minimum = max(1, tokens - usable)
-        situation = self.describe(host, rate)
-        amount = self.policy.size_draw(situation, minimum)
+        snapshot = self.describe(host, rate)
+        amount = self.policy.compute_draw(snapshot, minimum)
         host.submit(
             host.pool.make_draw(amount=amount, minimum=minimum, witness=witness)
         )
 
-    def describe(self, host: SimHost, rate: float) -> Situation:
+    def describe(self, host: SimHost, rate: float) -> AccountSnapshot:
         """Return the account as the policy sees it."""
-        return Situation(
+        return AccountSnapshot(
             paid=host.account.paid,
             free=host.account.free,
             drawn=host.pool.drawn,
@@ -153,7 +157,7 @@
         """Hold tokens for a request if a draw has them."""
         if host.pool.count_usable(host.state.draws) < tokens:
             return
-        draw = host.pool.open_draw(NO_WITNESS)
+        draw = host.pool.get_or_open_draw(NO_WITNESS)
         self.n_requests += 1
         name = f"request-{self.n_requests}"
         hold = draw.add_hold(
@@ -194,7 +198,7 @@
         if reply is not None and reply.allowed:
             call.draw.confirm_bound(call.bound)
         elif (reply is None or reply.known) and host.pool.current is call.draw:
-            host.pool.retire()
+            host.pool.retire_current()
 
     def send(self, host: SimHost, request: Request) -> None:
         """Send a request whose hold is confirmed, or give it up."""
@@ -310,7 +314,9 @@
             state = self.oracle.draws.get(draw.draw)
             if state is None or state.status is not DrawStatus.OPEN:
                 continue
-            assert draw.level <= state.amount, f"{draw.draw} holds more than it drew"
+            assert draw.committed <= state.amount, (
+                f"{draw.draw} holds more than it drew"
+            )
             assert draw.spent >= state.spent
 
     def _check_amounts(self) -> None:
--- a/tests/fuzz/test_ledger_examples.py
+++ b/tests/fuzz/test_ledger_examples.py
@@ -109,7 +109,7 @@
         Closed now, the draw would leave the running request without cover.
         """
         self.start_run(self.holder, 10)
-        self.holder.pool.retire()
+        self.holder.pool.retire_current()
         self.world.settle(self.holder)
         self.world.exchange()
         self.world.check()
@@ -128,7 +128,7 @@
         self.world.finish(self.other, self.other.requests[0])
         for _ in range(2):
             self.world.settle(self.other)
-            self.other.pool.retire()
+            self.other.pool.retire_current()
             self.world.exchange()
         self.world.check()
         self.world.recover(self.witness)
--- a/tests/fuzz/test_ledger_machine.py
+++ b/tests/fuzz/test_ledger_machine.py
@@ -15,7 +15,7 @@
 
 from tests.fuzz.ledger_actors import SimHost
 from tests.fuzz.ledger_world import World
-from trefoilstage.components.budget.pool import NO_WITNESS
+from trefoilstage.components.budget.draw_pool import NO_WITNESS
 
 N_HOSTS = 3
 MAX_HOSTS = 5
@@ -216,7 +216,7 @@
         host = self.pick(place)
         if retires:
             if host.runs:
-                host.pool.retire()
+                host.pool.retire_current()
                 self.world.settle(host)
             return
         host.dead = True
--- a/trefoilstage/components/admission/controller.py
+++ b/trefoilstage/components/admission/controller.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Place:
+class Slot:
     """Describe a request's slot at a target and the watts held for it."""
 
     candidate: Candidate
@@ -89,7 +89,7 @@
 
     async def admit(
         self, job: Job, ticket: Ticket, *, excluded: frozenset[str], retry: bool
-    ) -> Place | Refusal:
+    ) -> Slot | Refusal:
         """Return a slot for a request, or a refusal as soon as it is certain."""
         queue = self._get_queue(job.model)
         if not queue.is_first(ticket):
@@ -100,7 +100,7 @@
             return result
         return await self._wait_in_queue(job, ticket, result, excluded, retry)
 
-    def leave(self, job: Job, slot: Place, *, served: bool) -> None:
+    def release_slot(self, job: Job, slot: Slot, *, served: bool) -> None:
         """Release a slot and wake the first request in the queue."""
         now = self._timer.now()
         self._router.record_end(slot.candidate.name, now)
@@ -120,10 +120,10 @@
         self,
         job: Job,
         ticket: Ticket,
-        result: Place | Refusal,
+        result: Slot | Refusal,
         excluded: frozenset[str],
         retry: bool,
-    ) -> Place | Refusal:
+    ) -> Slot | Refusal:
         queue = self._get_queue(job.model)
         waiter = Waiter(ticket=ticket)
         self._waiters[ticket.number] = waiter
@@ -147,7 +147,7 @@
 
     async def _take_slot(
         self, job: Job, excluded: frozenset[str], retry: bool
-    ) -> Place | Refusal:
+    ) -> Slot | Refusal:
         refusal: Refusal | None = None
         while True:
             now = self._timer.now()
@@ -166,7 +166,7 @@
                 self._router.record_unsent(candidate.name, self._timer.now())
                 raise
             if not isinstance(hold, Refusal):
-                return Place(
+                return Slot(
                     candidate=candidate,
                     hold=hold,
                     blocks=choice.blocks,
@@ -199,12 +199,12 @@
             waiter.turn.set()
 
 
-def is_transient_refusal(result: Place | Refusal) -> bool:
+def is_transient_refusal(result: Slot | Refusal) -> bool:
     """Return whether a result is a refusal that may soon no longer apply."""
     return isinstance(result, Refusal) and result.reason in TRANSIENT_REASONS
 
 
-def make_refusal(result: Place | Refusal, wait_s: float) -> Refusal:
+def make_refusal(result: Slot | Refusal, wait_s: float) -> Refusal:
     """Return a refusal with the estimated wait, within limits, as its retry delay."""
     reason = result.reason if isinstance(result, Refusal) else Reason.OVERLOADED
     retry_after_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s))
--- a/trefoilstage/components/budget/account.py
+++ b/trefoilstage/components/budget/account_pool.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
 
-from trefoilstage.components.budget.pool import DrawPool
+from trefoilstage.components.budget.draw_pool import DrawPool
 from trefoilstage.ledger.records import Draw, Return, Settle
 from trefoilstage.ledger.state import DrawState, DrawStatus
 
@@ -48,7 +48,7 @@
         """Return a draw by name."""
         return next((draw for draw in self.list_draws() if draw.draw == name), None)
 
-    def open_draw(self, witness: str) -> DrawPool:
+    def get_or_open_draw(self, witness: str) -> DrawPool:
         """Return the current draw; open one if there is none."""
         if self.current is None:
             self.n_opened += 1
@@ -59,7 +59,7 @@
             )
         return self.current
 
-    def retire(self) -> None:
+    def retire_current(self) -> None:
         """Take the current draw out of use; its running requests continue."""
         if self.current is not None:
             self.current.retire()
@@ -75,7 +75,7 @@
         if state is None and not draw.granted:
             return
         if state is None or state.status is not DrawStatus.OPEN:
-            self.retire()
+            self.retire_current()
 
     def count_usable(self, draws: DrawStates) -> int:
         """Return what new requests may hold."""
@@ -88,7 +88,7 @@
 
     def make_draw(self, *, amount: int, minimum: int, witness: str) -> Draw:
         """Return the record that asks the log for more."""
-        draw = self.open_draw(witness)
+        draw = self.get_or_open_draw(witness)
         draw.n_drawing += 1
         return Draw(
             draw=draw.draw,
@@ -99,7 +99,7 @@
             opens=not draw.granted,
         )
 
-    def note_draw(self, name: str, amount: int, draws: DrawStates) -> None:
+    def apply_draw_verdict(self, name: str, amount: int, draws: DrawStates) -> None:
         """Apply the verdict on a draw; the amount is 0 if the draw was rejected."""
         draw = self.find_draw(name)
         if draw is None:
--- a/trefoilstage/components/budget/accounts.py
+++ b/trefoilstage/components/budget/accounts.py
@@ -1,8 +1,8 @@
 """Read accounts from the ledgers that this host has folded."""
 
 from trefoilstage.blackboard import Blackboard
-from trefoilstage.components.budget.account import AccountPool
-from trefoilstage.components.budget.policy import Situation
+from trefoilstage.components.budget.account_pool import AccountPool
+from trefoilstage.components.budget.policy import AccountSnapshot
 from trefoilstage.configuration.schema import Preference
 from trefoilstage.const import BUDGET_ACCOUNT_PREFIX, LEDGER_STREAM_PREFIX
 from trefoilstage.ledger.state import AccountState, DrawState, LedgerState
@@ -58,10 +58,10 @@
             and draw.holder != self._blackboard.incarnation
         ]
 
-    def take_snapshot(self, pool: AccountPool) -> Situation:
+    def take_snapshot(self, pool: AccountPool) -> AccountSnapshot:
         """Return what the policy needs to know of an account."""
         account = self.get_account(pool)
-        return Situation(
+        return AccountSnapshot(
             paid=account.paid,
             free=account.free,
             drawn=pool.drawn,
--- a/trefoilstage/components/budget/controller.py
+++ b/trefoilstage/components/budget/controller.py
@@ -7,13 +7,13 @@
 from mode import Service
 
 from trefoilstage.blackboard import Blackboard
-from trefoilstage.components.budget.account import AccountPool
+from trefoilstage.components.budget.account_pool import AccountPool
 from trefoilstage.components.budget.accounts import SETTLE_INTERVAL_S, Accounts
+from trefoilstage.components.budget.draw_pool import NO_WITNESS, DrawPool, Hold
 from trefoilstage.components.budget.draw_requester import DrawRequester
 from trefoilstage.components.budget.messages import Starved, StarvedReply
 from trefoilstage.components.budget.peers import BudgetPeers
 from trefoilstage.components.budget.policy import PEER_RETURN_WAIT_S, DrawPolicy
-from trefoilstage.components.budget.pool import NO_WITNESS, DrawPool, Hold
 from trefoilstage.components.budget.witness_client import WitnessClient
 from trefoilstage.components.log_client.streams import Streams
 from trefoilstage.components.peers.messages import PeerMessage
@@ -127,7 +127,7 @@
                 if refusal is not None:
                     return refusal
                 continue
-            draw = pool.open_draw(NO_WITNESS)
+            draw = pool.get_or_open_draw(NO_WITNESS)
             hold = draw.add_hold(
                 request=request, key=key, tokens=tokens, targets=targets
             )
@@ -186,14 +186,14 @@
 
     def retire_draw(self, account: str) -> None:
         """Retire the current draw; no existing fence covers the draw opened next."""
-        self._get_pool(account).retire()
+        self._get_pool(account).retire_current()
 
     async def return_all(self, timeout_s: float) -> None:
         """Settle and close every draw; call it when no request is running."""
         deadline = self._timer.now() + timeout_s
         while self._timer.now() < deadline:
             for pool in self._pools.values():
-                pool.retire()
+                pool.retire_current()
                 self._settle(pool)
             if not any(pool.retired for pool in self._pools.values()):
                 return
@@ -292,7 +292,7 @@
         reachable = self._accounts.is_log_reachable(pool)
         if reachable and self._peers.has_better_witness(draw.witness):
             log_event(Event.WITNESS_LOST, draw=draw.draw, witness=draw.witness)
-            pool.retire()
+            pool.retire_current()
         elif draw.unwitnessed:
             self._witnesses.start_update(pool, draw)
 
--- a/trefoilstage/components/budget/pool.py
+++ b/trefoilstage/components/budget/draw_pool.py
@@ -83,7 +83,7 @@
     targets: list[str] = field(default_factory=list)
 
     @property
-    def level(self) -> int:
+    def committed(self) -> int:
         """Return what is spent or may still be spent by running requests."""
         return self.spent + self.held
 
@@ -91,7 +91,7 @@
         """Return what new requests may hold, given the draw's amount in the ledger."""
         if self.retired:
             return 0
-        return amount - self.returning - self.level
+        return amount - self.returning - self.committed
 
     def add_hold(
         self, *, request: str, key: str, tokens: int, targets: Iterable[str] = ()
--- a/trefoilstage/components/budget/draw_requester.py
+++ b/trefoilstage/components/budget/draw_requester.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from trefoilstage.components.budget.account import AccountPool
+from trefoilstage.components.budget.account_pool import AccountPool
 from trefoilstage.components.budget.accounts import Accounts
 from trefoilstage.components.budget.peers import BudgetPeers
 from trefoilstage.components.budget.policy import DrawPolicy
@@ -117,11 +117,11 @@
 
     def draw_ahead(self, pool: AccountPool) -> None:
         """Draw below the low-water mark, so that no request waits for the log."""
-        situation = self._accounts.take_snapshot(pool)
-        low_water_mark = self._policy.compute_low_water_mark(situation)
+        snapshot = self._accounts.take_snapshot(pool)
+        low_water_mark = self._policy.compute_low_water_mark(snapshot)
         if (
             self._accounts.count_usable(pool) >= low_water_mark
-            or situation.free < low_water_mark
+            or snapshot.free < low_water_mark
         ):
             return
         self._start_draw(pool, low_water_mark)
@@ -163,8 +163,8 @@
         usable = max(0, self._accounts.count_usable(pool))
         minimum = max(1, tokens - usable)
         shortfall = max(minimum, pool.waiting - usable)
-        situation = self._accounts.take_snapshot(pool)
-        amount = self._policy.size_draw(situation, shortfall)
+        snapshot = self._accounts.take_snapshot(pool)
+        amount = self._policy.compute_draw(snapshot, shortfall)
         if amount < minimum:
             verdict: Verdict = Rejected(reason=Reason.BUDGET_EXHAUSTED)
             return DrawResult(tokens=tokens, verdict=verdict, is_refused_by_policy=True)
@@ -172,7 +172,9 @@
         record = pool.make_draw(amount=amount, minimum=minimum, witness=witness)
         verdict = await self._streams.submit_ledger(pool.number, record).future
         granted = verdict.amount if isinstance(verdict, Accepted) else 0
-        pool.note_draw(record.draw, granted, self._accounts.get_ledger(pool).draws)
+        pool.apply_draw_verdict(
+            record.draw, granted, self._accounts.get_ledger(pool).draws
+        )
         log_draw(record, verdict)
         return DrawResult(tokens=tokens, verdict=verdict)
 
--- a/trefoilstage/components/budget/peers.py
+++ b/trefoilstage/components/budget/peers.py
@@ -4,11 +4,11 @@
 import random
 
 from trefoilstage.blackboard import Blackboard
-from trefoilstage.components.budget.account import AccountPool
+from trefoilstage.components.budget.account_pool import AccountPool
 from trefoilstage.components.budget.accounts import Accounts
+from trefoilstage.components.budget.draw_pool import NO_WITNESS
 from trefoilstage.components.budget.messages import Starved
-from trefoilstage.components.budget.policy import Recovery
-from trefoilstage.components.budget.pool import NO_WITNESS
+from trefoilstage.components.budget.policy import RecoveryPolicy
 from trefoilstage.components.peers.links import PeerLinks
 from trefoilstage.exceptions import PeerUnavailableError
 from trefoilstage.ledger.state import DrawStatus
@@ -23,7 +23,7 @@
         blackboard: Blackboard,
         accounts: Accounts,
         links: PeerLinks,
-        recovery: Recovery,
+        recovery: RecoveryPolicy,
         ask_timeout_s: float,
         generator: random.Random,
     ) -> None:
@@ -37,7 +37,7 @@
     def pick_witness(self, lost: str) -> str:
         """Return a live peer's incarnation, one in this data centre if possible."""
         live = self._blackboard.list_live_peers()
-        if self._recovery is Recovery.COUNT_AS_SPENT or not live:
+        if self._recovery is RecoveryPolicy.COUNT_AS_SPENT or not live:
             return NO_WITNESS
         # A peer that did not respond just now may still be listed as live.
         peers = [entry for entry in live if entry.incarnation != lost] or live
@@ -50,7 +50,7 @@
 
     def has_better_witness(self, witness: str) -> bool:
         """Return whether the witness is lost and a live peer could replace it."""
-        if self._recovery is Recovery.COUNT_AS_SPENT:
+        if self._recovery is RecoveryPolicy.COUNT_AS_SPENT:
             return False
         live = {entry.incarnation for entry in self._blackboard.list_live_peers()}
         return bool(live) and witness not in live
--- a/trefoilstage/components/budget/policy.py
+++ b/trefoilstage/components/budget/policy.py
@@ -28,7 +28,7 @@
     FIXED_DRAW = "fixed-draw"
 
 
-class Recovery(StrEnum):
+class RecoveryPolicy(StrEnum):
     """List how a lost host's tokens are accounted for."""
 
     WITNESS = "witness"
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Situation:
+class AccountSnapshot:
     """Describe an account as one host sees it; amounts in tokens or watts.
 
     `returnable` marks watts, which come free again when their request ends.
@@ -61,66 +61,64 @@
     horizon_s: float
     fixed_draw_tokens: int
 
-    def size_draw(self, situation: Situation, shortfall: int) -> int:
+    def compute_draw(self, snapshot: AccountSnapshot, shortfall: int) -> int:
         """Return the amount to ask for; a static split may allow less than needed."""
         if self.kind is BudgetPolicy.FIXED_DRAW:
             return max(shortfall, self.fixed_draw_tokens)
         if self.kind is BudgetPolicy.STATIC_SPLIT:
-            return situation.paid // situation.n_hosts - situation.drawn
-        return max(shortfall, self.compute_stock(situation))
+            return snapshot.paid // snapshot.n_hosts - snapshot.drawn
+        return max(shortfall, self.compute_stock(snapshot))
 
-    def compute_stock(self, situation: Situation) -> int:
+    def compute_stock(self, snapshot: AccountSnapshot) -> int:
         """Return the amount that a host may keep beyond what its requests hold."""
-        if situation.returnable:
-            return situation.held // RETURNABLE_STOCK_DIVISOR
+        if snapshot.returnable:
+            return snapshot.held // RETURNABLE_STOCK_DIVISOR
         # While much is free, a host keeps a stock for minutes of its own demand,
         # so that no request is refused in an outage of the log. The stock shrinks
         # with the free amount, since an unused stock makes other hosts refuse
         # requests.
-        stock_share = STOCK_FREE_SHARE[situation.preference] / situation.n_hosts
-        demand_tokens = situation.demand_rate * MAX_STOCK_DEMAND_S
-        return max(0, int(min(demand_tokens, situation.free * stock_share)))
+        stock_share = STOCK_FREE_SHARE[snapshot.preference] / snapshot.n_hosts
+        demand_tokens = snapshot.demand_rate * MAX_STOCK_DEMAND_S
+        return max(0, int(min(demand_tokens, snapshot.free * stock_share)))
 
-    def compute_low_water_mark(self, situation: Situation) -> int:
+    def compute_low_water_mark(self, snapshot: AccountSnapshot) -> int:
         """Return the usable amount below which a host draws ahead of demand."""
-        if self.kind is not BudgetPolicy.ADAPTIVE or situation.returnable:
+        if self.kind is not BudgetPolicy.ADAPTIVE or snapshot.returnable:
             return 0
-        upcoming_demand = int(situation.demand_rate * self.horizon_s)
-        stock = self.compute_stock(situation)
+        upcoming_demand = int(snapshot.demand_rate * self.horizon_s)
+        stock = self.compute_stock(snapshot)
         # The log becomes unreachable without warning. When hosts refilled a stock
         # only near its end, it was often nearly empty at that moment, and they
         # refused requests immediately.
         return min(max(upcoming_demand, stock // LOW_WATER_DIVISOR), stock)
 
-    def compute_surplus(self, situation: Situation, usable: int) -> int:
+    def compute_surplus(self, snapshot: AccountSnapshot, usable: int) -> int:
         """Return the amount to give back without a request from a peer."""
         if self.kind is BudgetPolicy.STATIC_SPLIT or usable <= 0:
             return 0
         # The limit was lowered below what the hosts hold.
-        if situation.free < 0:
-            return min(usable, -situation.free)
-        if situation.held == 0 and situation.idle_s >= self._get_idle_limit_s(
-            situation, usable
+        if snapshot.free < 0:
+            return min(usable, -snapshot.free)
+        if snapshot.held == 0 and snapshot.idle_s >= self._get_idle_limit_s(
+            snapshot, usable
         ):
             return usable
         if self.kind is BudgetPolicy.FIXED_DRAW:
             return 0
-        horizon_s = RETURNABLE_HORIZON_S if situation.returnable else self.horizon_s
-        upcoming_demand = int(situation.demand_rate * horizon_s)
-        kept = max(
-            upcoming_demand, SURPLUS_STOCK_FACTOR * self.compute_stock(situation)
-        )
+        horizon_s = RETURNABLE_HORIZON_S if snapshot.returnable else self.horizon_s
+        upcoming_demand = int(snapshot.demand_rate * horizon_s)
+        kept = max(upcoming_demand, SURPLUS_STOCK_FACTOR * self.compute_stock(snapshot))
         return max(0, usable - kept)
 
-    def _get_idle_limit_s(self, situation: Situation, usable: int) -> float:
+    def _get_idle_limit_s(self, snapshot: AccountSnapshot, usable: int) -> float:
         """Return for how long a stock may be unused before it is given back."""
         # At a few requests a second over the fleet, a host often gets none for
         # some seconds. A host that gave back its whole stock then and lost the
         # log refused its next request, though plenty was free in the account.
-        stock_share = STOCK_FREE_SHARE[situation.preference] / situation.n_hosts
+        stock_share = STOCK_FREE_SHARE[snapshot.preference] / snapshot.n_hosts
         if (
-            situation.returnable
-            or usable > SURPLUS_STOCK_FACTOR * situation.free * stock_share
+            snapshot.returnable
+            or usable > SURPLUS_STOCK_FACTOR * snapshot.free * stock_share
         ):
             return IDLE_RETURN_S
         return PLENTIFUL_IDLE_RETURN_S
--- a/trefoilstage/components/budget/witness.py
+++ b/trefoilstage/components/budget/witness.py
@@ -4,7 +4,7 @@
 
 from trefoilstage.blackboard import Blackboard
 from trefoilstage.components.budget.messages import Bound
-from trefoilstage.components.budget.table import NOT_READ_YET, WitnessTable
+from trefoilstage.components.budget.witness_table import NOT_READ_YET, WitnessTable
 from trefoilstage.components.log_client.streams import Streams
 from trefoilstage.components.peers.messages import PeerMessage
 from trefoilstage.components.peers.server import PeerServer
--- a/trefoilstage/components/budget/witness_client.py
+++ b/trefoilstage/components/budget/witness_client.py
@@ -3,10 +3,10 @@
 import asyncio
 
 from trefoilstage.blackboard import Blackboard
-from trefoilstage.components.budget.account import AccountPool
+from trefoilstage.components.budget.account_pool import AccountPool
 from trefoilstage.components.budget.accounts import Accounts
+from trefoilstage.components.budget.draw_pool import DrawPool
 from trefoilstage.components.budget.messages import Bound, BoundReply
-from trefoilstage.components.budget.pool import DrawPool
 from trefoilstage.components.peers.links import PeerLinks
 from trefoilstage.exceptions import PeerUnavailableError
 from trefoilstage.helpers.events import Event, log_event
@@ -73,7 +73,7 @@
         log_event(Event.WITNESS_LOST, draw=draw.draw, witness=draw.witness)
         pool.lost_witness = draw.witness
         if pool.current is draw:
-            pool.retire()
+            pool.retire_current()
 
     async def _call_witness(self, witness: str, bound: Bound) -> BoundReply | None:
         url = self._find_url(witness)
--- a/trefoilstage/components/power/controller.py
+++ b/trefoilstage/components/power/controller.py
@@ -149,7 +149,7 @@
                 listener()
         return is_usable
 
-    def renew(self, site: str) -> None:
+    def retire_draw(self, site: str) -> None:
         """Retire a site's draw after a target refused it as fenced.
 
         A witness that lost contact with this host alone sealed an older draw. The
--- a/trefoilstage/components/targets/dispatcher.py
+++ b/trefoilstage/components/targets/dispatcher.py
@@ -1,10 +1,10 @@
-"""Run a job at a target: acquire a place, stream the response, retry failures."""
+"""Run a job at a target: acquire a slot, stream the response, retry failures."""
 
 from collections.abc import AsyncGenerator, AsyncIterator
 from contextlib import aclosing
 
 from trefoilstage.blackboard import Blackboard
-from trefoilstage.components.admission.controller import AdmissionController, Place
+from trefoilstage.components.admission.controller import AdmissionController, Slot
 from trefoilstage.components.power.controller import PowerController
 from trefoilstage.components.routing.router import Router
 from trefoilstage.components.targets.client import (
@@ -63,66 +63,66 @@
         n_failed = 0
         ticket = self._admission.make_ticket(job)
         while n_failed < MAX_ATTEMPTS:
-            place = await self._admission.admit(
+            slot = await self._admission.admit(
                 job, ticket, excluded=excluded, retry=n_failed > 0
             )
-            if isinstance(place, Refusal):
-                job_result.refusal = place
+            if isinstance(slot, Refusal):
+                job_result.refusal = slot
                 return
-            if not await self._confirm_serving(job, place):
-                excluded |= {place.candidate.name}
+            if not await self._confirm_serving(job, slot):
+                excluded |= {slot.candidate.name}
                 n_failed += 1
                 job_result.refusal = NO_TARGET
                 continue
             job_result.refusal = None
             try:
                 async with aclosing(
-                    self._stream_chunks(job, place, job_result)
+                    self._stream_chunks(job, slot, job_result)
                 ) as chunks:
                     async for chunk in chunks:
                         has_begun = True
                         yield chunk
                 return
             except TargetRefusedError as error:
-                self._record_refusal(job, place, error)
+                self._record_refusal(job, slot, error)
                 # A target at capacity ran nothing and has not failed, so the request
                 # keeps its place in the queue. Counted as a retry, it would use up the
                 # retry credit in an overload and be refused although room is near.
                 if not error.is_busy:
-                    excluded |= {place.candidate.name}
+                    excluded |= {slot.candidate.name}
                     n_failed += 1
                 elif self._timer.now() >= ticket.give_up_at:
                     break
             except TargetBrokenError as error:
-                self._record_failure(job, place, error)
+                self._record_failure(job, slot, error)
                 has_timed_out = isinstance(error.__cause__, TimeoutError)
                 if (
                     has_begun
                     or has_timed_out
-                    or not await self._has_run_nothing(job, place)
+                    or not await self._has_run_nothing(job, slot)
                 ):
                     job_result.refusal = TARGET_FAILED
                     return
                 job_result.target = ""
-                excluded |= {place.candidate.name}
+                excluded |= {slot.candidate.name}
                 n_failed += 1
         job_result.refusal = job_result.refusal or Refusal(
             reason=Reason.OVERLOADED, retry_after_s=RETRY_AFTER_FAILURE_S
         )
 
-    async def _has_run_nothing(self, job: Job, place: Place) -> bool:
+    async def _has_run_nothing(self, job: Job, slot: Slot) -> bool:
         """Return whether the target confirms that a failed job ended without tokens."""
-        response = await self._targets.cancel(place.candidate.config, job.request)
+        response = await self._targets.cancel(slot.candidate.config, job.request)
         return response is not None and response.ended and not response.usage.total
 
-    async def _confirm_serving(self, job: Job, place: Place) -> bool:
-        """Return whether the target is confirmed as serving; if not, free the place."""
+    async def _confirm_serving(self, job: Job, slot: Slot) -> bool:
+        """Return whether the target is confirmed as serving; if not, free the slot."""
         confirmed = False
         try:
-            confirmed = await self._serving_check.confirm(place.candidate.name)
+            confirmed = await self._serving_check.confirm(slot.candidate.name)
         finally:
             if not confirmed:
-                self._finish(job, place, has_ended=True, served=False)
+                self._finish(job, slot, has_ended=True, served=False)
         return confirmed
 
     async def cancel(self, request: str, job_result: JobResult) -> int | None:
@@ -138,16 +138,16 @@
         return response.usage.total
 
     async def _stream_chunks(
-        self, job: Job, place: Place, job_result: JobResult
+        self, job: Job, slot: Slot, job_result: JobResult
     ) -> AsyncGenerator[Chunk, None]:
-        name = place.candidate.name
+        name = slot.candidate.name
         job_result.target = name
         has_ended = False
-        n_unread_tokens = place.n_new_tokens
-        self._router.record_prompt_sent(name, place.blocks, n_unread_tokens)
+        n_unread_tokens = slot.n_new_tokens
+        self._router.record_prompt_sent(name, slot.blocks, n_unread_tokens)
         try:
-            generation_request = self._make_generation_request(job, place)
-            stream = self._targets.generate(place.candidate.config, generation_request)
+            generation_request = self._make_generation_request(job, slot)
+            stream = self._targets.generate(slot.candidate.config, generation_request)
             async with aclosing(stream) as chunks:
                 async for chunk in chunks:
                     self._router.record_prompt_read(name, n_unread_tokens)
@@ -163,20 +163,20 @@
         finally:
             self._router.record_prompt_read(name, n_unread_tokens)
             self._finish(
-                job, place, has_ended=has_ended, served=job_result.usage is not None
+                job, slot, has_ended=has_ended, served=job_result.usage is not None
             )
 
-    def _finish(self, job: Job, place: Place, *, has_ended: bool, served: bool) -> None:
-        self._router.get_status(place.candidate.name).health.record_inconclusive_end()
+    def _finish(self, job: Job, slot: Slot, *, has_ended: bool, served: bool) -> None:
+        self._router.get_status(slot.candidate.name).health.record_inconclusive_end()
         # Only the target's own response shows that a request has ended there. After a
         # broken stream or a caller's disconnect, the request may still draw power.
         if has_ended:
-            self._power.release(place.hold)
+            self._power.release(slot.hold)
         else:
-            self._power.release_when_ended(place.hold, place.candidate.config)
-        self._admission.leave(job, place, served=served)
+            self._power.release_when_ended(slot.hold, slot.candidate.config)
+        self._admission.release_slot(job, slot, served=served)
 
-    def _make_generation_request(self, job: Job, place: Place) -> GenerationRequest:
+    def _make_generation_request(self, job: Job, slot: Slot) -> GenerationRequest:
         return GenerationRequest(
             request=job.request,
             workspace=job.workspace,
@@ -184,24 +184,22 @@
             body=job.body,
             priority=job.priority,
             incarnation=self._blackboard.incarnation,
-            fencing=place.hold.fencing,
+            fencing=slot.hold.fencing,
             revision=max(0, self._blackboard.config.revision),
             timeout_s=job.deadline_s,
         )
 
-    def _record_refusal(
-        self, job: Job, place: Place, error: TargetRefusedError
-    ) -> None:
-        status = self._router.get_status(place.candidate.name)
+    def _record_refusal(self, job: Job, slot: Slot, error: TargetRefusedError) -> None:
+        status = self._router.get_status(slot.candidate.name)
         if error.is_busy:
             status.health.record_busy(self._timer.now())
         elif error.is_fenced:
-            self._power.renew(place.candidate.config.site)
+            self._power.retire_draw(slot.candidate.config.site)
         elif not error.is_leaving:
-            self._record_failure(job, place, error)
+            self._record_failure(job, slot, error)
 
-    def _record_failure(self, job: Job, place: Place, error: Exception) -> None:
-        name = place.candidate.name
+    def _record_failure(self, job: Job, slot: Slot, error: Exception) -> None:
+        name = slot.candidate.name
         status = self._router.get_status(name)
         status.failures += 1
         if status.health.record_failure(self._timer.now()):
--- a/trefoilstage/settings.py
+++ b/trefoilstage/settings.py
@@ -6,7 +6,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from trefoilstage.components.budget.policy import BudgetPolicy, Recovery
+from trefoilstage.components.budget.policy import BudgetPolicy, RecoveryPolicy
 from trefoilstage.components.routing.choice import RoutingPolicy
 from trefoilstage.configuration.schema import HttpUrl, Identifier
 from trefoilstage.exceptions import SettingsError
@@ -38,7 +38,7 @@
     forget_after_s: Seconds = 600.0
     draw_horizon_s: Seconds = 2.0
     budget_policy: BudgetPolicy = BudgetPolicy.ADAPTIVE
-    recovery: Recovery = Recovery.WITNESS
+    recovery: RecoveryPolicy = RecoveryPolicy.WITNESS
     fixed_draw_tokens: Annotated[int, Field(ge=1)] = 20_000
     witness_timeout_s: Seconds = 0.4
     recovery_grace_s: Seconds = 1.2
