--- a/bench/emulator/world.py
+++ b/bench/emulator/world.py
@@ -24,10 +24,10 @@
     FleetConfiguration,
     Route,
     RouteKind,
-    ServiceConfig,
     ServiceShare,
     TargetEntry,
     TargetPhase,
+    TargetService,
     Workspace,
 )
 from trefoilstage.components.views.store import Topic
@@ -127,7 +127,7 @@
             version=1,
             routes=tuple(self._routes.values()),
             services={
-                ASSISTANT: ServiceConfig(
+                ASSISTANT: TargetService(
                     name=ASSISTANT,
                     health_path="/",
                     max_connections=370,
@@ -137,7 +137,7 @@
                         tokens_per_event=5,
                     ),
                 ),
-                BOOKING: ServiceConfig(
+                BOOKING: TargetService(
                     name=BOOKING, health_path="/", max_connections=110
                 ),
             },
--- a/tests/components/admission/test_queue.py
+++ b/tests/components/admission/test_queue.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from trefoilstage.components.admission.queue import Capacity, Ticket, WaitingQueue
+from trefoilstage.components.admission.queue import Capacity, QueueTicket, WaitingQueue
 
 
 def make_queue(limit: int = 4, duration_s: float = 1.0) -> WaitingQueue:
@@ -11,9 +11,11 @@
     return WaitingQueue(limit=limit, capacity=Capacity(mean_duration_s=duration_s))
 
 
-def make_ticket(number: int, priority: int = 5, give_up_at: float = 100.0) -> Ticket:
+def make_ticket(
+    number: int, priority: int = 5, give_up_at: float = 100.0
+) -> QueueTicket:
     """Return a ticket, by default one that may wait for long."""
-    return Ticket(priority=priority, number=number, give_up_at=give_up_at)
+    return QueueTicket(priority=priority, number=number, give_up_at=give_up_at)
 
 
 class WaitingQueueTest(unittest.TestCase):
--- a/tests/components/forwarding/test_pipeline.py
+++ b/tests/components/forwarding/test_pipeline.py
@@ -10,7 +10,7 @@
 from bench.emulator.clock import run_virtually
 from tests.components.boards import make_board
 from tests.components.forwarding.common import make_route, make_target
-from trefoilstage.components.escrow.client import Hold
+from trefoilstage.components.escrow.client import EscrowHold
 from trefoilstage.components.forwarding.models import (
     CallerRequest,
     PromptPart,
@@ -71,8 +71,8 @@
 
     def record_answer(self, *_: object) -> None: ...
 
-    async def hold(self, *_: object) -> Hold:
-        return Hold(workspace="school", request="r-1", tokens=0)
+    async def hold(self, *_: object) -> EscrowHold:
+        return EscrowHold(workspace="school", request="r-1", tokens=0)
 
     def settle(self, *_: object) -> None: ...
 
@@ -170,7 +170,7 @@
     hold_s: float
     n_queries: int = 0
 
-    async def hold(self, *_: object) -> Hold:
+    async def hold(self, *_: object) -> EscrowHold:
         await asyncio.sleep(self.hold_s)
         return await super().hold()
 
@@ -208,7 +208,7 @@
     n_held: int = 0
     n_sent: int = 0
 
-    async def hold(self, *_: object) -> Hold:
+    async def hold(self, *_: object) -> EscrowHold:
         self.n_held += 1
         return await super().hold()
 
--- a/tests/components/forwarding/test_targets.py
+++ b/tests/components/forwarding/test_targets.py
@@ -13,7 +13,7 @@
     Engine,
     FleetConfiguration,
     PromptPart,
-    ServiceConfig,
+    TargetService,
 )
 from trefoilstage.components.forwarding.placement import CandidateInfo, PromptNeed
 from trefoilstage.components.forwarding.sender import NotRun
@@ -137,7 +137,7 @@
     async def test_target_with_full_memory_is_avoided(self) -> None:
         """Guard against a choice that ignores the configured KV cache size."""
         engine = Engine(slots=64, kv_tokens=100_000, tokens_per_event=5)
-        service = ServiceConfig(
+        service = TargetService(
             name="assistant", health_path="/", max_connections=10, engine=engine
         )
         self.board.configuration = FleetConfiguration(services={"assistant": service})
--- a/trefoilstage/components/admission/controller.py
+++ b/trefoilstage/components/admission/controller.py
@@ -7,7 +7,7 @@
 from mode import Service
 
 from trefoilstage.blackboard import Blackboard
-from trefoilstage.components.admission.queue import Ticket, WaitingQueue
+from trefoilstage.components.admission.queue import QueueTicket, WaitingQueue
 from trefoilstage.components.power.controller import PowerController, PowerHold
 from trefoilstage.components.routing.choice import Candidate
 from trefoilstage.components.routing.router import Router
@@ -36,7 +36,7 @@
 class Waiter:
     """Signal a waiting request that it is its turn or that it is refused."""
 
-    ticket: Ticket
+    ticket: QueueTicket
     turn: asyncio.Event = field(default_factory=asyncio.Event)
     refused: bool = False
 
@@ -77,18 +77,18 @@
         self._unsubscribe_power()
         self._unsubscribe()
 
-    def make_ticket(self, job: Job) -> Ticket:
+    def make_ticket(self, job: Job) -> QueueTicket:
         """Return a ticket: a request's rank and the time until which it may wait."""
         queue = self._get_queue(job.model)
         usable_s = job.deadline_s - queue.capacity.mean_duration_s
-        return Ticket(
+        return QueueTicket(
             priority=job.priority,
             number=next(self._numbers),
             give_up_at=self._timer.now() + min(self._queue_wait_s, usable_s),
         )
 
     async def admit(
-        self, job: Job, ticket: Ticket, *, excluded: frozenset[str], retry: bool
+        self, job: Job, ticket: QueueTicket, *, excluded: frozenset[str], retry: bool
     ) -> Slot | Refusal:
         """Return a slot for a request, or a refusal as soon as it is certain."""
         queue = self._get_queue(job.model)
@@ -119,7 +119,7 @@
     async def _wait_in_queue(
         self,
         job: Job,
-        ticket: Ticket,
+        ticket: QueueTicket,
         result: Slot | Refusal,
         excluded: frozenset[str],
         retry: bool,
@@ -192,7 +192,7 @@
         if queue.tickets:
             self._waiters[queue.tickets[0].number].turn.set()
 
-    def _refuse_tickets(self, tickets: list[Ticket]) -> None:
+    def _refuse_tickets(self, tickets: list[QueueTicket]) -> None:
         for ticket in tickets:
             waiter = self._waiters[ticket.number]
             waiter.refused = True
--- a/trefoilstage/components/admission/queue.py
+++ b/trefoilstage/components/admission/queue.py
@@ -5,7 +5,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Ticket:
+class QueueTicket:
     """Describe a waiting request: its rank and the time until which it may wait."""
 
     priority: int
@@ -47,14 +47,16 @@
 
     limit: int
     capacity: Capacity = field(default_factory=Capacity)
-    tickets: list[Ticket] = field(default_factory=list)
+    tickets: list[QueueTicket] = field(default_factory=list)
 
-    def estimate_wait(self, ticket: Ticket, n_active: int) -> float:
+    def estimate_wait(self, ticket: QueueTicket, n_active: int) -> float:
         """Return the seconds that a ticket would wait, given the active requests."""
         n_ahead = sum(item.rank < ticket.rank for item in self.tickets)
         return self.capacity.estimate_wait(n_ahead, n_active)
 
-    def offer(self, ticket: Ticket, now: float, n_active: int) -> list[Ticket]:
+    def offer(
+        self, ticket: QueueTicket, now: float, n_active: int
+    ) -> list[QueueTicket]:
         """Add a ticket and return the refused ones: itself, others or none."""
         if now + self.estimate_wait(ticket, n_active) > ticket.give_up_at:
             return [ticket]
@@ -64,10 +66,10 @@
             refused.append(self.tickets.pop())
         return refused
 
-    def evict_late(self, now: float, n_active: int) -> list[Ticket]:
+    def evict_late(self, now: float, n_active: int) -> list[QueueTicket]:
         """Remove and return the tickets that can no longer be served in time."""
-        kept: list[Ticket] = []
-        late: list[Ticket] = []
+        kept: list[QueueTicket] = []
+        late: list[QueueTicket] = []
         for ticket in self.tickets:
             wait_s = self.capacity.estimate_wait(len(kept), n_active)
             # The estimate is rough. Half of it keeps the tickets that offer()
@@ -77,11 +79,11 @@
         self.tickets = kept
         return late
 
-    def is_first(self, ticket: Ticket) -> bool:
+    def is_first(self, ticket: QueueTicket) -> bool:
         """Return whether no request waits ahead of a ticket."""
         return not self.tickets or ticket.rank <= self.tickets[0].rank
 
-    def remove(self, ticket: Ticket) -> None:
+    def remove(self, ticket: QueueTicket) -> None:
         """Remove a ticket if it is still queued."""
         if ticket in self.tickets:
             self.tickets.remove(ticket)
--- a/trefoilstage/components/escrow/client.py
+++ b/trefoilstage/components/escrow/client.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Hold:
+class EscrowHold:
     """Describe a hold on tokens; an empty home means that no tokens are held."""
 
     workspace: str
@@ -100,21 +100,21 @@
 
     async def hold(
         self, workspace: str, request: str, tokens: int, wait_limits: WaitLimits
-    ) -> Hold | Refusal:
+    ) -> EscrowHold | Refusal:
         """Return a hold for a request, or its refusal.
 
         While the store is out of reach and the stock is used up, the request waits
         as long as it may still get tokens that way.
         """
         if not self._is_prepaid(workspace) or tokens == 0:
-            return Hold(workspace=workspace, request=request, tokens=0)
+            return EscrowHold(workspace=workspace, request=request, tokens=0)
         for n_retries in itertools.count():
             # A refused hold may have been settled already; each attempt has a new name.
             hold_name = f"{request}/{n_retries}"
             answer = await self._request_from_homes(
                 workspace, hold_name, tokens, repeat=n_retries > 0
             )
-            if isinstance(answer, Hold):
+            if isinstance(answer, EscrowHold):
                 return answer
             wait_s = self._plan_wait(answer, wait_limits)
             if wait_s is None:
@@ -124,13 +124,13 @@
 
     async def _request_from_homes(
         self, workspace: str, request: str, tokens: int, *, repeat: bool
-    ) -> Hold | HoldRefused:
+    ) -> EscrowHold | HoldRefused:
         first_refusal: HoldRefused | None = None
         for home in self._ranking.list_homes_to_ask(workspace):
             answer = await self._request_from_home(
                 home, workspace, request, tokens, repeat=repeat
             )
-            if isinstance(answer, Hold):
+            if isinstance(answer, EscrowHold):
                 return answer
             # The home knows the account best; the fallbacks may still have tokens.
             first_refusal = first_refusal or answer
@@ -154,7 +154,7 @@
         )
         return make_refusal(refusal.reason, retry_after_s)
 
-    def settle(self, hold: Hold, spent: int) -> None:
+    def settle(self, hold: EscrowHold, spent: int) -> None:
         """Settle a hold with what its request spent."""
         if not hold.home:
             return
@@ -181,7 +181,7 @@
 
     async def _request_from_home(
         self, home: str, workspace: str, request: str, tokens: int, *, repeat: bool
-    ) -> Hold | HoldRefused:
+    ) -> EscrowHold | HoldRefused:
         message = HoldTokens(
             workspace=workspace,
             request=request,
@@ -204,7 +204,7 @@
         if not self._grants.accept(incarnation, workspace, tokens):
             # The home was sealed while its reply was in flight.
             return UNCONFIRMED
-        return Hold(
+        return EscrowHold(
             workspace=workspace,
             request=request,
             tokens=tokens,
--- a/trefoilstage/components/forwarding/models.py
+++ b/trefoilstage/components/forwarding/models.py
@@ -57,8 +57,8 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ServiceConfig:
-    """Describe a service that receives requests."""
+class TargetService:
+    """Describe a service whose targets receive requests."""
 
     name: str
     health_path: str
@@ -89,7 +89,7 @@
 
     version: int = 0
     routes: tuple[Route, ...] = ()
-    services: Mapping[str, ServiceConfig] = field(default_factory=dict)
+    services: Mapping[str, TargetService] = field(default_factory=dict)
     workspaces: Mapping[str, Workspace] = field(default_factory=dict)
     workspaces_by_key: Mapping[str, Workspace] = field(default_factory=dict)
     limits: CallerLimits = field(default_factory=CallerLimits)
--- a/trefoilstage/components/forwarding/pipeline.py
+++ b/trefoilstage/components/forwarding/pipeline.py
@@ -9,7 +9,7 @@
 import random
 
 from trefoilstage.components.crashes.watcher import CrashWatcher
-from trefoilstage.components.escrow.client import EscrowClient, Hold
+from trefoilstage.components.escrow.client import EscrowClient, EscrowHold
 from trefoilstage.components.escrow.wait_limits import WaitLimits
 from trefoilstage.components.forwarding.models import (
     Route,
@@ -74,7 +74,7 @@
         state.service_name = self._pick_service(state.route)
         # Runs in parallel to the hold: both take a call and are independent.
         query = asyncio.create_task(self._query_candidates(state))
-        hold: Hold | Refusal | None = None
+        hold: EscrowHold | Refusal | None = None
         try:
             async with asyncio.timeout_at(state.deadline):
                 hold = await self._hold_tokens(state)
@@ -87,7 +87,7 @@
             return self._make_deadline_refusal(state)
         finally:
             query.cancel()
-            if isinstance(hold, Hold):
+            if isinstance(hold, EscrowHold):
                 self._escrow.settle(hold, state.count_spent())
                 self._log_done(state, hold)
 
@@ -97,7 +97,7 @@
         )
         state.candidates_queried_at = asyncio.get_running_loop().time()
 
-    async def _hold_tokens(self, state: RequestState) -> Hold | Refusal:
+    async def _hold_tokens(self, state: RequestState) -> EscrowHold | Refusal:
         wait_limits = WaitLimits.compute(
             now=state.started_at,
             max_silence_s=state.route.silence_limit_s,
@@ -116,7 +116,7 @@
         number = next(self._hold_numbers)
         return f"{state.request.request_id}/{self._board.host}/{number}"
 
-    def _log_done(self, state: RequestState, hold: Hold) -> None:
+    def _log_done(self, state: RequestState, hold: EscrowHold) -> None:
         log_event(
             Event.REQUEST_DONE,
             request=state.request.request_id,
--- a/trefoilstage/components/forwarding/request_state.py
+++ b/trefoilstage/components/forwarding/request_state.py
@@ -6,7 +6,7 @@
 from trefoilstage.components.forwarding.models import (
     CallerRequest,
     Route,
-    ServiceConfig,
+    TargetService,
     Workspace,
 )
 from trefoilstage.components.forwarding.placement import CandidateInfo
@@ -41,7 +41,7 @@
     longest_gap_s: float = 0.0
     target: str = ""
     service_name: str = ""
-    service: ServiceConfig | None = None
+    service: TargetService | None = None
     fingerprint: str = field(init=False)  # the same for all retries
     # When the current target first and last sent data, 0 if it sent none.
     target_first_data_at: float = 0.0
--- a/trefoilstage/platform/configuration.py
+++ b/trefoilstage/platform/configuration.py
@@ -11,10 +11,10 @@
     FleetConfiguration,
     Route,
     RouteKind,
-    ServiceConfig,
     ServiceShare,
     TargetEntry,
     TargetPhase,
+    TargetService,
     Workspace,
 )
 from trefoilstage.exceptions import MalformedMessageError
@@ -191,7 +191,7 @@
     )
 
 
-def decode_service(wire: WireService) -> ServiceConfig:
+def decode_service(wire: WireService) -> TargetService:
     """Return a service."""
     engine = None
     if wire.engine is not None:
@@ -200,7 +200,7 @@
             kv_tokens=wire.engine.kv_tokens,
             tokens_per_event=max(1, wire.engine.stride),
         )
-    return ServiceConfig(
+    return TargetService(
         name=wire.name,
         health_path=wire.health_path,
         max_connections=wire.max_connections,
