--- a/tests/components/forwarding/test_targets.py
+++ b/tests/components/forwarding/test_targets.py
@@ -13,10 +13,10 @@
     Engine,
     FleetConfiguration,
     PromptPart,
-    ServiceConfig,
+    TargetService,
 )
 from trefoilstage.components.forwarding.placement import CandidateInfo, PromptNeed
-from trefoilstage.components.forwarding.sender import NotSent
+from trefoilstage.components.forwarding.sender import NotRun
 from trefoilstage.components.forwarding.targets import TargetChooser
 from trefoilstage.components.forwarding.work import Work
 from trefoilstage.components.forwarding.workload import WorkloadController
@@ -76,13 +76,13 @@
     async def test_restart_clears_an_ejection(self) -> None:
         """Eject a target, then restart it under the same name."""
         old = make_target("i-1", started_ms=1)
-        self.board.targets.add(old)
-        self.board.targets.add(make_target("i-2", started_ms=1))
-        self.chooser.record_answer(old, NotSent(reason="timeout", silent=True))
+        self.board.targets.apply_entry(old)
+        self.board.targets.apply_entry(make_target("i-2", started_ms=1))
+        self.chooser.record_answer(old, NotRun(reason="timeout", timed_out=True))
         self.assertEqual(self.choose(), "i-2@1")
         busy = make_target("i-2", started_ms=1)
         self.chooser.add_request(busy, (), CandidateInfo())
-        self.board.targets.add(make_target("i-1", started_ms=2))
+        self.board.targets.apply_entry(make_target("i-1", started_ms=2))
         self.assertEqual(self.choose(), "i-1@2")
 
     async def test_target_restarted_with_its_clock_set_back_is_used(self) -> None:
@@ -92,19 +92,19 @@
         request finds no target at the old address, and the next one uses the new entry.
         """
         old = make_target("i-1", started_ms=5_000)
-        self.board.targets.add(old)
-        self.board.targets.add(
+        self.board.targets.apply_entry(old)
+        self.board.targets.apply_entry(
             make_target("i-1", started_ms=3_000, address="127.0.0.1:2")
         )
         self.assertEqual(self.choose(), "i-1@5000")
-        self.chooser.record_answer(old, NotSent(reason="refused", unreachable=True))
+        self.chooser.record_answer(old, NotRun(reason="refused", unreachable=True))
         self.assertEqual(self.choose(), "i-1@3000")
 
     async def test_health_of_ended_targets_is_removed(self) -> None:
         """Restart a target a hundred times; health records do not accumulate."""
         for number in range(100):
             target = make_target("i-1", started_ms=number)
-            self.board.targets.add(target)
+            self.board.targets.apply_entry(target)
             self.chooser.add_request(target, (), CandidateInfo())
         self.assertLessEqual(len(self.chooser._healths), 2)
 
@@ -137,13 +137,13 @@
     async def test_target_with_full_memory_is_avoided(self) -> None:
         """Guard against a choice that ignores the configured KV cache size."""
         engine = Engine(slots=64, kv_tokens=100_000, tokens_per_event=5)
-        service = ServiceConfig(
+        service = TargetService(
             name="assistant", health_path="/", max_connections=10, engine=engine
         )
         self.board.configuration = FleetConfiguration(services={"assistant": service})
         targets = [make_target("i-1"), make_target("i-2")]
         for target in targets:
-            self.board.targets.add(target)
+            self.board.targets.apply_entry(target)
         prompt = (PromptPart(name="dossier", n_tokens=60_000),)
         for target in targets:
             sent = self.chooser.add_request(target, prompt, CandidateInfo())
--- a/tests/components/forwarding/test_workload.py
+++ b/tests/components/forwarding/test_workload.py
@@ -10,12 +10,12 @@
 from tests.components.escrow.common import ManualTimer
 from tests.components.forwarding.common import make_target
 from trefoilstage.components.fleet.messages import FLEET_CODEC
-from trefoilstage.components.forwarding.heard_work import (
+from trefoilstage.components.forwarding.messages import WorkQuery, WorkReport
+from trefoilstage.components.forwarding.models import PromptPart
+from trefoilstage.components.forwarding.peer_work import (
     MAX_REPORT_AGE_S,
     MAX_TOTALS_AGE_S,
 )
-from trefoilstage.components.forwarding.messages import WorkQuery, WorkReport
-from trefoilstage.components.forwarding.models import PromptPart
 from trefoilstage.components.forwarding.placement import (
     MAX_CANDIDATES,
     PromptNeed,
@@ -54,7 +54,7 @@
     def register_target(self, name: str) -> None:
         """Register a target on all hosts."""
         for workload in self.workloads.values():
-            workload._board.targets.add(make_target(name))
+            workload._board.targets.apply_entry(make_target(name))
 
     def queue_coroutine(self, coroutine: Any) -> Any:
         """Queue a controller's coroutine, to run it within the test."""
@@ -80,7 +80,7 @@
         self.queried: list[list[str]] = []
         board = make_board("host-0", [f"host-{number}" for number in range(20)])
         for number in range(30):
-            board.targets.add(make_target(f"i-{number}"))
+            board.targets.apply_entry(make_target(f"i-{number}"))
         workload = mock.Mock()
         workload.query_homes = self.query_homes
         workload.get_work.side_effect = lambda name: work
--- a/trefoilstage/components/admission/controller.py
+++ b/trefoilstage/components/admission/controller.py
@@ -7,7 +7,7 @@
 from mode import Service
 
 from trefoilstage.blackboard import Blackboard
-from trefoilstage.components.admission.queue import Ticket, WaitingQueue
+from trefoilstage.components.admission.queue import QueueTicket, WaitingQueue
 from trefoilstage.components.power.controller import PowerController, PowerHold
 from trefoilstage.components.routing.choice import Candidate
 from trefoilstage.components.routing.router import Router
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Place:
+class Slot:
     """Describe a request's slot at a target and the watts held for it."""
 
     candidate: Candidate
@@ -36,7 +36,7 @@
 class Waiter:
     """Signal a waiting request that it is its turn or that it is refused."""
 
-    ticket: Ticket
+    ticket: QueueTicket
     turn: asyncio.Event = field(default_factory=asyncio.Event)
     refused: bool = False
 
@@ -77,19 +77,19 @@
         self._unsubscribe_power()
         self._unsubscribe()
 
-    def make_ticket(self, job: Job) -> Ticket:
+    def make_ticket(self, job: Job) -> QueueTicket:
         """Return a ticket: a request's rank and the time until which it may wait."""
         queue = self._get_queue(job.model)
         usable_s = job.deadline_s - queue.capacity.mean_duration_s
-        return Ticket(
+        return QueueTicket(
             priority=job.priority,
             number=next(self._numbers),
             give_up_at=self._timer.now() + min(self._queue_wait_s, usable_s),
         )
 
     async def admit(
-        self, job: Job, ticket: Ticket, *, excluded: frozenset[str], retry: bool
-    ) -> Place | Refusal:
+        self, job: Job, ticket: QueueTicket, *, excluded: frozenset[str], retry: bool
+    ) -> Slot | Refusal:
         """Return a slot for a request, or a refusal as soon as it is certain."""
         queue = self._get_queue(job.model)
         if not queue.is_first(ticket):
@@ -100,10 +100,10 @@
             return result
         return await self._wait_in_queue(job, ticket, result, excluded, retry)
 
-    def leave(self, job: Job, slot: Place, *, served: bool) -> None:
+    def release_slot(self, job: Job, slot: Slot, *, served: bool) -> None:
         """Release a slot and wake the first request in the queue."""
         now = self._timer.now()
-        self._router.note_end(slot.candidate.name, now)
+        self._router.record_end(slot.candidate.name, now)
         queue = self._get_queue(job.model)
         if served:
             queue.capacity.note_duration(now - slot.started_at)
@@ -119,11 +119,11 @@
     async def _wait_in_queue(
         self,
         job: Job,
-        ticket: Ticket,
-        result: Place | Refusal,
+        ticket: QueueTicket,
+        result: Slot | Refusal,
         excluded: frozenset[str],
         retry: bool,
-    ) -> Place | Refusal:
+    ) -> Slot | Refusal:
         queue = self._get_queue(job.model)
         waiter = Waiter(ticket=ticket)
         self._waiters[ticket.number] = waiter
@@ -147,35 +147,35 @@
 
     async def _take_slot(
         self, job: Job, excluded: frozenset[str], retry: bool
-    ) -> Place | Refusal:
+    ) -> Slot | Refusal:
         refusal: Refusal | None = None
         while True:
             now = self._timer.now()
-            choice = self._router.choose(job, excluded, now, retry=retry)
+            choice = self._router.choose_target(job, excluded, now, retry=retry)
             if isinstance(choice, Refusal):
                 return refusal or choice
             candidate = choice.candidate
             # The start is counted before the watts are held, so that two requests
             # that wait for watts at the same time do not use the same last slot.
-            self._router.note_start(candidate.name, now, retry=retry)
+            self._router.record_start(candidate.name, now, retry=retry)
             try:
                 hold = await self._power.hold(
                     job.request, candidate.name, candidate.config
                 )
             except BaseException:
-                self._router.note_unsent(candidate.name, self._timer.now())
+                self._router.record_unsent(candidate.name, self._timer.now())
                 raise
             if not isinstance(hold, Refusal):
-                return Place(
+                return Slot(
                     candidate=candidate,
                     hold=hold,
                     blocks=choice.blocks,
                     n_new_tokens=choice.n_new_tokens,
                     started_at=self._timer.now(),
                 )
-            self._router.note_unsent(candidate.name, self._timer.now())
+            self._router.record_unsent(candidate.name, self._timer.now())
             refusal = hold
-            excluded |= self._router.list_site(candidate.config.site)
+            excluded |= self._router.list_targets_at_site(candidate.config.site)
 
     async def _tick(self) -> None:
         now = self._timer.now()
@@ -192,19 +192,19 @@
         if queue.tickets:
             self._waiters[queue.tickets[0].number].turn.set()
 
-    def _refuse_tickets(self, tickets: list[Ticket]) -> None:
+    def _refuse_tickets(self, tickets: list[QueueTicket]) -> None:
         for ticket in tickets:
             waiter = self._waiters[ticket.number]
             waiter.refused = True
             waiter.turn.set()
 
 
-def is_transient_refusal(result: Place | Refusal) -> bool:
+def is_transient_refusal(result: Slot | Refusal) -> bool:
     """Return whether a result is a refusal that may soon no longer apply."""
     return isinstance(result, Refusal) and result.reason in TRANSIENT_REASONS
 
 
-def make_refusal(result: Place | Refusal, wait_s: float) -> Refusal:
+def make_refusal(result: Slot | Refusal, wait_s: float) -> Refusal:
     """Return a refusal with the estimated wait, within limits, as its retry delay."""
     reason = result.reason if isinstance(result, Refusal) else Reason.OVERLOADED
     retry_after_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s))
--- a/trefoilstage/components/forwarding/models.py
+++ b/trefoilstage/components/forwarding/models.py
@@ -40,7 +40,7 @@
     silence_limit_s: float = 2.0  # callers give up after a longer time without data
 
     @property
-    def is_repeatable(self) -> bool:
+    def is_retryable(self) -> bool:
         """Return whether a request that may have run may be sent again."""
         return self.kind is RouteKind.IDEMPOTENT or (
             self.kind is RouteKind.STREAM and self.resumable
@@ -57,8 +57,8 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ServiceConfig:
-    """Describe a service that receives requests."""
+class TargetService:
+    """Describe a service whose targets receive requests."""
 
     name: str
     health_path: str
@@ -89,7 +89,7 @@
 
     version: int = 0
     routes: tuple[Route, ...] = ()
-    services: Mapping[str, ServiceConfig] = field(default_factory=dict)
+    services: Mapping[str, TargetService] = field(default_factory=dict)
     workspaces: Mapping[str, Workspace] = field(default_factory=dict)
     workspaces_by_key: Mapping[str, Workspace] = field(default_factory=dict)
     limits: CallerLimits = field(default_factory=CallerLimits)
@@ -135,7 +135,7 @@
 class CallerRequest:
     """Represent a caller's decoded request."""
 
-    request: str
+    request_id: str
     method: str
     host: str
     path: str  # without the query
--- a/trefoilstage/components/forwarding/run.py
+++ b/trefoilstage/components/forwarding/request_state.py
@@ -6,7 +6,7 @@
 from trefoilstage.components.forwarding.models import (
     CallerRequest,
     Route,
-    ServiceConfig,
+    TargetService,
     Workspace,
 )
 from trefoilstage.components.forwarding.placement import CandidateInfo
@@ -16,14 +16,14 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class Run:
+class RequestState:
     """Track the progress of one request, over all targets that it is sent to."""
 
     request: CallerRequest
     body: bytes
     route: Route
     workspace: Workspace | None
-    started: float
+    started_at: float
     deadline: float
     body_s: float = 0.0  # until its body arrived
     n_possible_runs: int = 0  # sends that a target may have run
@@ -41,7 +41,7 @@
     longest_gap_s: float = 0.0
     target: str = ""
     service_name: str = ""
-    service: ServiceConfig | None = None
+    service: TargetService | None = None
     fingerprint: str = field(init=False)  # the same for all retries
     # When the current target first and last sent data, 0 if it sent none.
     target_first_data_at: float = 0.0
--- a/trefoilstage/fleet_host.py
+++ b/trefoilstage/fleet_host.py
@@ -11,9 +11,9 @@
 from trefoilstage.components.fleet.messages import FLEET_CODEC
 from trefoilstage.components.fleet.metrics import MetricsServer
 from trefoilstage.components.fleet.watcher import BoardWatcher
-from trefoilstage.components.forwarding.border import Border
 from trefoilstage.components.forwarding.sender import TargetSender, open_target_session
 from trefoilstage.components.forwarding.server import ForwardingServer
+from trefoilstage.components.forwarding.translator import RequestTranslator
 from trefoilstage.components.peers.links import PeerLinks
 from trefoilstage.components.peers.server import PeerServer
 from trefoilstage.components.views.store import Store
@@ -52,7 +52,7 @@
         *,
         settings: FleetSettings,
         store: Store,
-        border: Border,
+        translator: RequestTranslator,
         watcher: BoardWatcher,
         board: FleetBoard,
         process_start: ProcessStart,
@@ -63,7 +63,7 @@
         self._process_start = process_start
         self._settings = settings
         self._store = store
-        self._border = border
+        self._translator = translator
         self._watcher = watcher
         self._board = board
         self.drain_requested = asyncio.Event()
@@ -88,7 +88,7 @@
             watcher=self._watcher,
             links=links,
             peers=peers,
-            sender=TargetSender(session=self._session, border=self._border),
+            sender=TargetSender(session=self._session, translator=self._translator),
             probe=ConnectProbe(outbound_address=settings.address),
             process_start=self._process_start,
         )
@@ -98,7 +98,7 @@
         self._server = ForwardingServer(
             board=self._board,
             settings=settings,
-            border=self._border,
+            translator=self._translator,
             pipeline=parts.pipeline,
         )
         metrics = MetricsServer(
@@ -109,10 +109,10 @@
             port=settings.metrics_port,
             get_accounts=self._home.list_accounts,
             count_active=lambda: self._server.n_active,
-            count_blocked=lambda: len(parts.crashes.evidence.blocked),
+            count_blocked=lambda: len(parts.crashes.evidence.blocked_fingerprints),
         )
         self._registry.register("board", lambda: self._board)
-        self._registry.register("crashes", parts.crashes.evidence.list_all)
+        self._registry.register("crashes", parts.crashes.evidence.get_seen_times)
         self._registry.register("settings", lambda: settings)
         self._registry.register("accounts", self._home.list_accounts)
         services: list[Service] = [parts.timer, metrics, links, peers]
@@ -167,7 +167,7 @@
         self._board.phase = Phase.DRAINING
         self._membership.beat_soon()
         # Its successor as home draws at once; what lies here is missing there.
-        self.add_future(self._home.return_all())
+        self.add_future(self._home.return_unused())
         log_event(
             Event.HOST_DRAINING, host=self._board.host, active=self._server.n_active
         )
@@ -175,7 +175,7 @@
         # it goes on using all of them. A closed port would cost those callers their
         # request, so the port stays open to the end.
         await asyncio.sleep(max(0.0, min(ACCEPT_WHILE_DRAINING_S, ends - loop.time())))
-        self._server.refuse_long_requests()
+        self._server.refuse_streams()
         # Where most hosts of a data centre drain, quick calls never cease. Waiting for
         # a pause among them, a host stayed to the end of its grace and refused streams
         # that its successor could have served: 204 within 8 s of hosts stopped in turn.
@@ -194,14 +194,14 @@
         ended = await self._server.drain(max(0.0, ends - loop.time()))
         if not ended:
             log_event(Event.DRAIN_INCOMPLETE, host=self._board.host)
-            await self._server.cut_off()
+            await self._server.cancel_requests()
         await self._leave()
 
     async def _leave(self) -> None:
         try:
             async with asyncio.timeout(LEAVE_S):
                 await self._escrow.flush()
-                await self._home.return_all()
+                await self._home.return_unused()
                 await self._membership.withdraw()
         except TimeoutError:
             log_event(Event.LEAVE_INCOMPLETE, host=self._board.host)
