--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -1,4 +1,4 @@
-"""Test the decoding of configurations, entries, settings and records."""
+"""Test the decoding of configurations, target entries, settings and records."""
 
 import json
 import struct
@@ -13,9 +13,9 @@
 from trefoilstage.platform.settings import load_platform_settings
 from trefoilstage.platform.store import (
     decode_item,
-    decode_items,
     decode_records,
     encode_record,
+    validate_items,
 )
 
 CONFIGURATION = {
@@ -73,30 +73,30 @@
 
 
 class ConfigurationTest(unittest.TestCase):
-    """Test what is decoded from the store."""
+    """Test the decoding of configurations and target entries."""
 
     def test_configuration_is_decoded(self) -> None:
-        """Read routes, services, workspaces and keys; pass over what is new."""
-        found = decode_configuration(json.dumps(CONFIGURATION).encode())
-        route = found.routes[0]
-        self.assertEqual(found.version, 7)
+        """Decode routes, services, workspaces and keys; ignore unknown fields."""
+        configuration = decode_configuration(json.dumps(CONFIGURATION).encode())
+        route = configuration.routes[0]
+        self.assertEqual(configuration.version, 7)
         self.assertIs(route.kind, RouteKind.STREAM)
         self.assertTrue(route.is_repeatable)
         self.assertEqual((route.host, route.timeout_s), ("club.example", 15.0))
         self.assertEqual([share.service for share in route.shares], ["x", "y"])
-        self.assertEqual(found.workspaces_by_key["k2"].prepaid_tokens, 1000)
-        engine = found.services["x"].engine
+        self.assertEqual(configuration.workspaces_by_key["k2"].prepaid_tokens, 1000)
+        engine = configuration.services["x"].engine
         self.assertEqual(engine and engine.tokens_per_event, 5)
 
-    def test_unknown_kind_is_never_repeated(self) -> None:
-        """Take a kind of route that is not known for one that may run once."""
+    def test_unknown_route_kind_is_at_most_once(self) -> None:
+        """Treat an unknown kind of route as at most once."""
         changed = json.loads(json.dumps(CONFIGURATION))
         changed["routes"][0]["kind"] = "new"
         route = decode_configuration(json.dumps(changed).encode()).routes[0]
         self.assertIs(route.kind, RouteKind.ONCE)
 
-    def test_bad_bytes_are_malformed(self) -> None:
-        """Refuse what is no configuration, naming the place and no value."""
+    def test_invalid_configuration_is_rejected(self) -> None:
+        """Reject invalid configurations; the error names the field, but no value."""
         for data in (b"", b"[]", b"\xff", b'{"version": "x"}'):
             with self.assertRaises(MalformedMessageError):
                 decode_configuration(data)
@@ -107,27 +107,27 @@
         self.assertNotIn("secret", str(caught.exception))
 
     def test_entry_is_decoded(self) -> None:
-        """Read a target's entry."""
+        """Decode a target's entry, and reject an incomplete one."""
         entry = decode_target("i-1", encode_entry(state="draining"))
         self.assertIs(entry.phase, TargetPhase.DRAINING)
         with self.assertRaises(MalformedMessageError):
             decode_target("i-1", b'{"service":"x"}')
 
-    def test_start_makes_an_incarnation(self) -> None:
-        """Read two entries of one name; the time of the start tells them apart."""
+    def test_start_time_distinguishes_incarnations(self) -> None:
+        """Decode two entries with the same name and different start times."""
         first = decode_target("i-1", encode_entry(born=1_000))
         second = decode_target("i-1", encode_entry(born=2_000))
         self.assertEqual(first.name, second.name)
         self.assertNotEqual(first.incarnation, second.incarnation)
         self.assertEqual(decode_target("i-1", encode_entry(born=None)).started_ms, 0)
 
-    def test_entry_that_another_writer_spoilt_is_malformed(self) -> None:
-        """Spoil one field at a time, and drop one at a time.
+    def test_entry_with_invalid_or_missing_field_is_rejected(self) -> None:
+        """Replace one field at a time by an invalid value, and remove one at a time.
 
-        Filled in or converted, such an entry would name a target: requests would go
-        to an address that nobody listens on, or that somebody else does.
+        With defaults or conversions, such an entry of another writer would become a
+        target, and requests would be sent to an unused address or to another server.
         """
-        spoilt: list[tuple[str, object]] = [
+        invalid_fields: list[tuple[str, object]] = [
             ("service", ""),
             ("service", 5),
             ("address", "example.org:80"),
@@ -144,7 +144,7 @@
             ("born", True),
             ("born", 10**30),
         ]
-        for name, value in spoilt:
+        for name, value in invalid_fields:
             with (
                 self.subTest(name=name, value=value),
                 self.assertRaises(MalformedMessageError),
@@ -157,43 +157,43 @@
 
 
 class RecordsTest(unittest.TestCase):
-    """Test the framing of records."""
+    """Test the encoding and decoding of the store's records."""
 
-    def test_records_are_read_back(self) -> None:
-        """Frame records and read them, a dropped key among them."""
+    def test_records_are_encoded_and_decoded(self) -> None:
+        """Encode and decode records, among them one that deletes its key."""
         body = encode_record("a", b"x") + encode_record("b", None)
         listing = decode_records(struct.pack(">QQ", 9, 0) + body, 5)
         found = [(item.key, item.offset, item.value) for item in listing.records]
         self.assertEqual(found, [("a", 5, b"x"), ("b", 6, None)])
         self.assertEqual(listing.end_offset, 7)
 
-    def test_unreadable_records_hold_nothing_up(self) -> None:
-        """Read records of another writer: an empty one, and a key that is no text.
+    def test_malformed_records_do_not_block_later_ones(self) -> None:
+        """Decode empty and truncated records, and a key that is not valid UTF-8.
 
-        Refused as a whole, the read would fail again and again, and hosts would
-        learn of no target any more.
+        If one such record of another writer failed the whole read, every retry would
+        fail as well, and hosts would receive no further changes of targets.
         """
         empty = struct.pack(">I", 0)
-        torn_key = struct.pack(">I", 2) + b"\x09a"
-        no_text = struct.pack(">I", 4) + b"\x02\xff\xfex"
-        body = empty + torn_key + no_text + encode_record("i-1", b"v")
+        truncated_key = struct.pack(">I", 2) + b"\x09a"
+        invalid_utf8 = struct.pack(">I", 4) + b"\x02\xff\xfex"
+        body = empty + truncated_key + invalid_utf8 + encode_record("i-1", b"v")
         listing = decode_records(struct.pack(">QQ", 9, 0) + body, 5)
         self.assertEqual(listing.end_offset, 9)
         self.assertEqual(listing.records[-1].key, "i-1")
         self.assertEqual([item.offset for item in listing.records], [5, 6, 7, 8])
 
-    def test_unreadable_listed_records_cost_no_other(self) -> None:
-        """List a page with items of other types and a value that is no base64."""
-        proper = {"key": "i-1", "value": "dg==", "offset": 4}
-        items = [5, {"key": 1}, {**proper, "value": "?"}, proper]
-        found = decode_items(items, Topic.TARGETS)
+    def test_malformed_listed_records_do_not_affect_others(self) -> None:
+        """Decode a page with items of wrong types and a value that is not base64."""
+        valid = {"key": "i-1", "value": "dg==", "offset": 4}
+        items = [5, {"key": 1}, {**valid, "value": "?"}, valid]
+        found = validate_items(items, Topic.TARGETS)
         self.assertEqual([item.key for item in found], ["i-1", "i-1"])
         with self.assertRaises(MalformedMessageError):
             decode_target("i-1", decode_item(found[0]).value or b"")
         self.assertEqual(decode_item(found[1]).value, b"v")
 
-    def test_torn_bytes_are_an_outage(self) -> None:
-        """Read answers that end too soon; the store counts as unavailable."""
+    def test_truncated_response_is_store_unavailable(self) -> None:
+        """Decode truncated responses."""
         for data in (b"", b"\0" * 15, struct.pack(">QQ", 9, 0) + b"\0\0"):
             with self.assertRaises(StoreUnavailableError):
                 decode_records(data, 0)
@@ -203,21 +203,21 @@
     """Test the platform's settings file."""
 
     def load(self, text: str):  # type: ignore[no-untyped-def]
-        """Load settings from a text."""
+        """Load settings from a temporary file with this text."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "settings.conf"
             path.write_text(text)
             return load_platform_settings(path)
 
     def test_settings_are_decoded(self) -> None:
-        """Read the fields that are used, and pass over what is new."""
+        """Decode the known fields and ignore unknown ones."""
         settings = self.load(SETTINGS)
         self.assertEqual((settings.host, settings.caller_port), ("front-1", 8227))
         self.assertEqual(settings.store_url, "http://10.200.1.7:8223")
         self.assertEqual(settings.store_partitions, 12)
 
-    def test_findings_name_their_place(self) -> None:
-        """Refuse settings with two faults, naming both."""
+    def test_error_names_every_invalid_setting(self) -> None:
+        """Reject settings, naming both of two invalid values."""
         with self.assertRaises(SettingsError) as caught:
             self.load(
                 SETTINGS.replace("8227", "99999").replace("parts=12", "parts=none")
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -1,4 +1,4 @@
-"""Test what crosses the border in headers."""
+"""Test the translation between HTTP headers and requests and answers."""
 
 import unittest
 
@@ -9,8 +9,8 @@
 )
 from trefoilstage.platform.headers import HeaderBorder
 
-BORDER = HeaderBorder()
-PLAIN = {
+TRANSLATOR = HeaderBorder()
+REQUEST_HEADERS = {
     "Host": "Club.example:80",
     "Attempt-Id": "9c41",
     "Token-Count": "1460,80",
@@ -20,39 +20,44 @@
 }
 
 
-class HeaderBorderTest(unittest.TestCase):
+class HeaderTranslatorTest(unittest.TestCase):
     """Test the decoding and encoding of headers."""
 
-    def read(self, **more: str):  # type: ignore[no-untyped-def]
-        """Decode a request with some headers more."""
-        headers = {**PLAIN, **{name.replace("_", "-"): v for name, v in more.items()}}
-        return BORDER.read_request(
+    def read_request(self, **extra: str):  # type: ignore[no-untyped-def]
+        """Decode a request with extra headers."""
+        headers = {
+            **REQUEST_HEADERS,
+            **{name.replace("_", "-"): v for name, v in extra.items()},
+        }
+        return TRANSLATOR.read_request(
             method="POST", raw_target="/a/b?x=1", headers=headers.items()
         )
 
-    def write(self, options: ForwardOptions, **more: str) -> dict[str, str]:
-        """Return the headers that a target gets."""
-        pairs = BORDER.write_request(self.read(**more), make_target("i-1"), options)
+    def write_request(self, options: ForwardOptions, **extra: str) -> dict[str, str]:
+        """Return the headers that a target receives."""
+        pairs = TRANSLATOR.write_request(
+            self.read_request(**extra), make_target("i-1"), options
+        )
         self.assertEqual(len(pairs), len(dict(pairs)), pairs)
         return dict(pairs)
 
     def test_request_is_decoded(self) -> None:
-        """Read each field of a request."""
-        request = self.read()
+        """Decode each field of a request."""
+        request = self.read_request()
         self.assertEqual(request.host, "club.example")
         self.assertEqual((request.path, request.raw_target), ("/a/b", "/a/b?x=1"))
         self.assertEqual(request.max_tokens, 1_540)
         self.assertEqual(request.deadline_s, 15.0)
         self.assertEqual([part.n_tokens for part in request.prompt], [800, 410, 250])
 
-    def test_forged_headers_do_not_pass(self) -> None:
-        """Send headers that are the system's to set.
+    def test_reserved_headers_of_callers_are_not_forwarded(self) -> None:
+        """Send headers that only this system may set.
 
-        Passed on, they would bill another workspace, reserve a target's memory or
-        continue another caller's run; and the key itself would leave the system.
+        If they were forwarded, they could bill another workspace, reserve a target's
+        memory or continue another caller's run, and a target would receive the key.
         """
         options = ForwardOptions(workspace="brest", deadline_s=1.0)
-        headers = self.write(
+        headers = self.write_request(
             options,
             Tenant="quimper",
             Hold="h",
@@ -70,56 +75,58 @@
             self.assertNotIn(name, headers)
         self.assertNotIn("Request-Urgency", headers)
 
-    def test_own_headers_pass_unchanged(self) -> None:
-        """Pass on what describes the request, and what is not known here."""
+    def test_other_headers_of_callers_are_forwarded_unchanged(self) -> None:
+        """Forward headers that describe the request, and unknown ones."""
         options = ForwardOptions(workspace="brest", deadline_s=1.0)
-        headers = self.write(options, X_Other="1", Last_Event_Id="7")
+        headers = self.write_request(options, X_Other="1", Last_Event_Id="7")
         for name in ("Attempt-Id", "Token-Count", "Prompt-Prefix"):
-            self.assertEqual(headers[name], PLAIN[name])
+            self.assertEqual(headers[name], REQUEST_HEADERS[name])
         self.assertEqual(headers["X-Other"], "1")
         self.assertEqual(headers["Last-Event-Id"], "7")
 
-    def test_resumption_replaces_the_callers_position(self) -> None:
-        """Resume after event 9 a stream that the caller had resumed after 7."""
+    def test_resumption_replaces_last_event_id_of_caller(self) -> None:
+        """Resume a stream after event 9 that the caller resumed after event 7."""
         options = ForwardOptions(workspace="", deadline_s=1.0, resume_after=9)
-        headers = self.write(options, Last_Event_Id="7")
+        headers = self.write_request(options, Last_Event_Id="7")
         self.assertEqual(headers["Last-Event-Id"], "9")
 
-    def test_connection_headers_stay(self) -> None:
-        """Leave out what concerns one connection, and what Connection names."""
+    def test_hop_by_hop_headers_are_not_forwarded(self) -> None:
+        """Remove hop-by-hop headers and those that Connection names."""
         options = ForwardOptions(workspace="", deadline_s=None)
-        headers = self.write(options, Connection="x-hop", X_Hop="1", TE="trailers")
+        headers = self.write_request(
+            options, Connection="x-hop", X_Hop="1", TE="trailers"
+        )
         for name in ("Connection", "X-Hop", "TE"):
             self.assertNotIn(name, headers)
 
-    def test_malformed_values_are_refused(self) -> None:
-        """Refuse numbers that are none, with an error that says which."""
-        for more in (
+    def test_malformed_values_are_rejected(self) -> None:
+        """Reject invalid numbers and an Attempt-Id that is too long."""
+        for extra in (
             {"Token_Count": "many"},
             {"Token_Count": "-5,1"},
             {"Deadline_Ms": "soon"},
             {"Attempt_Id": "x" * 129},
         ):
             with self.assertRaises(MalformedRequestError):
-                self.read(**more)
+                self.read_request(**extra)
 
     def test_answer_of_another_request_is_not_trusted(self) -> None:
-        """Read answers without a signature, or that name another request."""
-        request = self.read()
-        good = {"Attempt-Id": "9c41", "Response-Seal": "s"}
-        self.assertTrue(BORDER.read_answer(request, 200, good).trusted)
-        for bad in (
-            {**good, "Attempt-Id": "other"},
+        """Decode answers without a seal, for another request, or with an encoding."""
+        request = self.read_request()
+        valid = {"Attempt-Id": "9c41", "Response-Seal": "s"}
+        self.assertTrue(TRANSLATOR.read_answer(request, 200, valid).trusted)
+        for untrusted in (
+            {**valid, "Attempt-Id": "other"},
             {"Attempt-Id": "9c41"},
-            {**good, "Content-Encoding": "gzip"},
+            {**valid, "Content-Encoding": "gzip"},
         ):
-            self.assertFalse(BORDER.read_answer(request, 200, bad).trusted)
+            self.assertFalse(TRANSLATOR.read_answer(request, 200, untrusted).trusted)
 
-    def test_only_a_target_that_says_so_did_not_run(self) -> None:
-        """Tell a target's refusal from its failure."""
-        request = self.read()
-        refused = BORDER.read_answer(request, 503, {"Not-Executed": "1"})
+    def test_only_explicit_refusal_counts_as_not_run(self) -> None:
+        """Distinguish a target's refusal from its failure."""
+        request = self.read_request()
+        refused = TRANSLATOR.read_answer(request, 503, {"Not-Executed": "1"})
         self.assertTrue(refused.not_run)
-        self.assertFalse(BORDER.read_answer(request, 503, {}).not_run)
-        misdirected = BORDER.read_answer(request, 421, {})
+        self.assertFalse(TRANSLATOR.read_answer(request, 503, {}).not_run)
+        misdirected = TRANSLATOR.read_answer(request, 421, {})
         self.assertTrue(misdirected.not_run and misdirected.misdirected)
--- a/trefoilstage/platform/__init__.py
+++ b/trefoilstage/platform/__init__.py
@@ -1,5 +1,5 @@
-"""Speak to the platform: its settings, headers, store and configuration.
+"""Adapt the platform's settings, headers, store and configuration.
 
-Nothing here decides. Each name on the wire is decoded once, into the types of the
-components.
+This package only translates and makes no decisions. It decodes each of the platform's
+names once, into the types of the components.
 """
--- a/trefoilstage/platform/configuration.py
+++ b/trefoilstage/platform/configuration.py
@@ -1,4 +1,7 @@
-"""Decode the operators' configuration and the targets' entries."""
+"""Decode the operators' configuration and the targets' entries from the store.
+
+The `Wire...` models validate the platform's JSON and keep its field names.
+"""
 
 import ipaddress
 from typing import Annotated, Literal
@@ -21,40 +24,41 @@
 
 MS_PER_S = 1000.0
 CONFIGURATION_KEY = "config"
-# "unsafe" there means "at most once".
-KINDS = {
+# The platform's "unsafe" means "at most once".
+ROUTE_KINDS = {
     "safe": RouteKind.IDEMPOTENT,
     "unsafe": RouteKind.ONCE,
     "stream": RouteKind.STREAM,
 }
-# Callers give up a stream without an event for the longest of these.
-SILENCE_LIMIT_S = 2.0
-SILENCE_PER_OBJECTIVE = 4.0
-SILENCE_PER_GAP = 8.0
-Positive = Annotated[float, Field(gt=0)]
+# Callers abandon a stream that sends no event for the largest of three limits: this
+# minimum and two multiples of the route's objectives.
+MIN_SILENCE_LIMIT_S = 2.0
+SILENCE_LIMIT_PER_OBJECTIVE = 4.0
+SILENCE_LIMIT_PER_GAP_OBJECTIVE = 8.0
+PositiveFloat = Annotated[float, Field(gt=0)]
 MAX_PORT = 65_535
-# Far above what was seen, and small enough for messages between hosts.
-MAX_NAME = 200
+# Limits far above every value seen, and small enough for messages between hosts.
+MAX_NAME_LENGTH = 200
 MAX_SLOTS = 1_000_000
 MAX_UNIX_MS = 2**53
 
 
 class WireSplit(BaseModel):
-    """Check one service of a split route."""
+    """Describe one service's share of a route's traffic."""
 
     service: str
     weight: Annotated[float, Field(ge=0)] = 1.0
 
 
 class WireRoute(BaseModel):
-    """Check a route."""
+    """Describe a route."""
 
     name: str
     host: str
     path_prefix: str
     kind: str = "unsafe"
-    timeout_ms: Positive = 15_000
-    target_latency_ms: Positive = 1_000
+    timeout_ms: PositiveFloat = 15_000
+    target_latency_ms: PositiveFloat = 1_000
     priority: int = 0
     service: str | None = None
     traffic_split: list[WireSplit] = []
@@ -65,15 +69,15 @@
 
 
 class WireEngine(BaseModel):
-    """Check what is said of a service's model engines."""
+    """Describe the model engines of a service."""
 
     slots: int = 1
     kv_tokens: int = 0
-    stride: int = 1  # tokens that one event of a stream may hold
+    stride: int = 1  # maximum tokens in one event of a stream
 
 
 class WireService(BaseModel):
-    """Check a service."""
+    """Describe a service."""
 
     name: str
     health_path: str = "/health"
@@ -82,7 +86,7 @@
 
 
 class WireTenant(BaseModel):
-    """Check a tenant, our workspace."""
+    """Describe a tenant, which is a workspace here."""
 
     name: str
     api_keys: list[str] = []
@@ -91,14 +95,14 @@
 
 
 class WireLimits(BaseModel):
-    """Check the limits on callers."""
+    """Describe the limits on callers' requests."""
 
     max_body_bytes: int = 4_194_304
-    idle_timeout_ms: Positive = 15_000
+    idle_timeout_ms: PositiveFloat = 15_000
 
 
 class WireConfiguration(BaseModel):
-    """Check a whole configuration."""
+    """Describe a whole configuration."""
 
     version: int
     routes: list[WireRoute] = []
@@ -108,29 +112,30 @@
 
 
 class WireTarget(BaseModel):
-    """Check a server's entry, our target.
+    """Describe the entry of a server, which is a target here.
 
-    Nothing is converted or filled in: an entry by another writer may look like a
-    target's but for one field, and requests would go to an address that it made up.
+    Validation is strict, without conversions or defaults for required fields: an entry
+    by another writer may differ from a target's in a single field, and requests would
+    be sent to an address that no target has.
     """
 
     model_config = ConfigDict(strict=True)
 
-    service: Annotated[str, Field(min_length=1, max_length=MAX_NAME)]
+    service: Annotated[str, Field(min_length=1, max_length=MAX_NAME_LENGTH)]
     address: str
-    zone: Annotated[str, Field(max_length=MAX_NAME)]  # our data centre
+    zone: Annotated[str, Field(max_length=MAX_NAME_LENGTH)]  # the data centre
     version: str
     slots: Annotated[int, Field(ge=1, le=MAX_SLOTS)]
     state: Literal["ready", "draining"]
     cold_remaining_ms: Annotated[float, Field(ge=0)]
     sequence: Annotated[int, Field(ge=0)]
-    # Unix milliseconds of its start; with the name, it tells its incarnation.
+    # Start time in Unix milliseconds; with the name, it identifies the incarnation.
     born: Annotated[int, Field(ge=0, le=MAX_UNIX_MS)] | None = None
 
     @field_validator("address")
     @classmethod
     def check_address(cls, value: str) -> str:
-        """Take an IPv4 address and a port only; names are not looked up."""
+        """Accept only an IPv4 address and a port; host names are not resolved."""
         host, _, port = value.rpartition(":")
         ipaddress.IPv4Address(host)
         if not (port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT):
@@ -139,11 +144,11 @@
 
 
 def decode_configuration(data: bytes) -> FleetConfiguration:
-    """Return the configuration, or raise MalformedMessageError."""
+    """Decode a configuration; raise MalformedMessageError if it is invalid."""
     try:
         wire = WireConfiguration.model_validate_json(data)
     except ValidationError as error:
-        raise MalformedMessageError(describe(error)) from error
+        raise MalformedMessageError(describe_locations(error)) from error
     workspaces = {tenant.name: decode_workspace(tenant) for tenant in wire.tenants}
     return FleetConfiguration(
         version=wire.version,
@@ -163,7 +168,7 @@
 
 
 def decode_route(wire: WireRoute) -> Route:
-    """Return a route."""
+    """Convert a route; an unknown kind is treated as at most once."""
     shares = [
         ServiceShare(service=item.service, weight=item.weight)
         for item in wire.traffic_split
@@ -174,7 +179,7 @@
         name=wire.name,
         host=wire.host.lower(),
         path_prefix=wire.path_prefix,
-        kind=KINDS.get(wire.kind, RouteKind.ONCE),
+        kind=ROUTE_KINDS.get(wire.kind, RouteKind.ONCE),
         shares=tuple(shares),
         timeout_s=wire.timeout_ms / MS_PER_S,
         objective_s=wire.target_latency_ms / MS_PER_S,
@@ -184,15 +189,15 @@
         resumable=wire.resumable,
         gap_objective_s=wire.gap_aim_ms / MS_PER_S,
         silence_limit_s=max(
-            SILENCE_LIMIT_S,
-            SILENCE_PER_OBJECTIVE * wire.target_latency_ms / MS_PER_S,
-            SILENCE_PER_GAP * wire.gap_aim_ms / MS_PER_S,
+            MIN_SILENCE_LIMIT_S,
+            SILENCE_LIMIT_PER_OBJECTIVE * wire.target_latency_ms / MS_PER_S,
+            SILENCE_LIMIT_PER_GAP_OBJECTIVE * wire.gap_aim_ms / MS_PER_S,
         ),
     )
 
 
 def decode_service(wire: WireService) -> ServiceConfig:
-    """Return a service."""
+    """Convert a service."""
     engine = None
     if wire.engine is not None:
         engine = Engine(
@@ -209,20 +214,20 @@
 
 
 def decode_workspace(wire: WireTenant) -> Workspace:
-    """Return a workspace."""
+    """Convert a tenant to a workspace."""
     return Workspace(
         name=wire.name, priority=wire.priority, prepaid_tokens=wire.prepaid
     )
 
 
 def decode_target(name: str, data: bytes) -> TargetEntry:
-    """Return a target's entry, or raise MalformedMessageError."""
-    if not 0 < len(name) <= MAX_NAME:
+    """Decode a target's entry; raise MalformedMessageError if it is invalid."""
+    if not 0 < len(name) <= MAX_NAME_LENGTH:
         raise MalformedMessageError("the target's name is empty or too long")
     try:
         wire = WireTarget.model_validate_json(data)
     except ValidationError as error:
-        raise MalformedMessageError(describe(error)) from error
+        raise MalformedMessageError(describe_locations(error)) from error
     return TargetEntry(
         name=name,
         service=wire.service,
@@ -234,7 +239,10 @@
     )
 
 
-def describe(error: ValidationError) -> str:
-    """Return the places of all findings; the values may hold keys."""
-    places = [".".join(map(str, item["loc"])) for item in error.errors()]
-    return f"not valid: {', '.join(places[:20])}"
+def describe_locations(error: ValidationError) -> str:
+    """Return the fields that failed validation, without their values.
+
+    The values may contain callers' keys.
+    """
+    locations = [".".join(map(str, item["loc"])) for item in error.errors()]
+    return f"invalid fields: {', '.join(locations[:20])}"
--- a/trefoilstage/platform/headers.py
+++ b/trefoilstage/platform/headers.py
@@ -1,4 +1,4 @@
-"""Decode callers' requests and targets' answers from headers, and encode them."""
+"""Translate between HTTP headers and the pipeline's requests and answers."""
 
 from collections.abc import Iterable, Mapping
 from typing import Final
@@ -16,23 +16,24 @@
 
 MS_PER_S = 1000
 
-ATTEMPT_ID: Final = "Attempt-Id"  # the caller's id of this one send
-DEADLINE: Final = "Deadline-Ms"  # what is left at the moment of sending
-KEY: Final = "Key"
-TENANT: Final = "Tenant"  # the workspace that holds the key
-TOKEN_COUNT: Final = "Token-Count"  # prompt tokens, most output tokens
-PROMPT_PREFIX: Final = "Prompt-Prefix"
-EXPECT_INSTANCE: Final = "Expect-Instance"
-URGENCY: Final = "Request-Urgency"  # 0 goes first
-RESUME_AFTER: Final = "Last-Event-Id"
-SEAL: Final = "Response-Seal"  # a target's signature of its answer
-NOT_EXECUTED: Final = "Not-Executed"
-MISDIRECTED: Final = 421
-# Ids seen have 16 characters. Messages between hosts hold names of up to 300.
-MAX_ID_LENGTH: Final = 128
-
-# They concern one connection only.
-CONNECTION_HEADERS = frozenset(
+HEADER_ATTEMPT_ID: Final = "Attempt-Id"  # chosen by the caller for each attempt
+HEADER_DEADLINE: Final = "Deadline-Ms"  # time remaining when the request is sent
+HEADER_KEY: Final = "Key"
+HEADER_TENANT: Final = "Tenant"  # the workspace that owns the key
+HEADER_TOKEN_COUNT: Final = "Token-Count"  # prompt tokens, maximum output tokens
+HEADER_PROMPT_PREFIX: Final = "Prompt-Prefix"
+HEADER_EXPECT_INSTANCE: Final = "Expect-Instance"
+HEADER_URGENCY: Final = "Request-Urgency"  # 0 is the most urgent
+HEADER_LAST_EVENT_ID: Final = "Last-Event-Id"
+HEADER_SEAL: Final = "Response-Seal"  # a target's signature of its answer
+HEADER_NOT_EXECUTED: Final = "Not-Executed"
+HTTP_MISDIRECTED: Final = 421
+# Ids seen from callers have 16 characters. Messages between hosts allow names of up to
+# 300.
+MAX_REQUEST_ID_LENGTH: Final = 128
+
+# Headers that apply to a single connection and are not forwarded.
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -47,9 +48,9 @@
         "content-length",
     }
 )
-# Ours to set. Passed on as the caller sent them, they would bill another
-# workspace, reserve memory or continue another request's run.
-OWN_HEADERS = frozenset(
+# Headers that only this system sets. If a caller's values were forwarded, they could
+# bill another workspace, reserve memory or continue another request's run.
+RESERVED_HEADERS = frozenset(
     {
         "key",
         "tenant",
@@ -72,81 +73,88 @@
     def read_request(
         self, *, method: str, raw_target: str, headers: Iterable[tuple[str, str]]
     ) -> CallerRequest:
-        """Return a caller's request, or raise MalformedRequestError."""
+        """Decode a caller's request; raise MalformedRequestError if it is invalid."""
         pairs = list(headers)
         values = {name.lower(): value for name, value in pairs}
-        prompt_tokens, output_tokens = read_token_count(values.get("token-count"))
+        n_prompt_tokens, max_output_tokens = parse_token_count(
+            values.get("token-count")
+        )
         path, _, _ = raw_target.partition("?")
-        request = values.get("attempt-id", "")
-        if len(request) > MAX_ID_LENGTH:
-            raise MalformedRequestError("the request's id is too long")
+        request_id = values.get("attempt-id", "")
+        if len(request_id) > MAX_REQUEST_ID_LENGTH:
+            raise MalformedRequestError("the Attempt-Id header is too long")
         return CallerRequest(
-            request=request,
+            request=request_id,
             method=method,
             host=values.get("host", "").partition(":")[0].lower(),
             path=path,
             raw_target=raw_target,
             key=values.get("key", ""),
-            deadline_s=read_deadline(values.get("deadline-ms")),
-            n_prompt_tokens=prompt_tokens,
-            max_output_tokens=output_tokens,
-            prompt=read_prompt(values.get("prompt-prefix")),
-            headers=tuple(keep_end_to_end(pairs, OWN_HEADERS)),
+            deadline_s=parse_deadline(values.get("deadline-ms")),
+            n_prompt_tokens=n_prompt_tokens,
+            max_output_tokens=max_output_tokens,
+            prompt=parse_prompt_prefix(values.get("prompt-prefix")),
+            headers=tuple(select_end_to_end(pairs, RESERVED_HEADERS)),
         )
 
     def write_request(
         self, request: CallerRequest, target: TargetEntry, options: ForwardOptions
     ) -> list[tuple[str, str]]:
-        """Return the headers of a request to a target."""
+        """Return the headers of a request that is forwarded to a target."""
         headers = [
             item
             for item in request.headers
-            if options.resume_after is None or item[0].lower() != RESUME_AFTER.lower()
+            if options.resume_after is None
+            or item[0].lower() != HEADER_LAST_EVENT_ID.lower()
         ]
-        headers.append((EXPECT_INSTANCE, target.name))
+        headers.append((HEADER_EXPECT_INSTANCE, target.name))
         if options.deadline_s is not None:
-            left_ms = max(1, int(options.deadline_s * MS_PER_S))
-            headers.append((DEADLINE, str(left_ms)))
+            remaining_ms = max(1, int(options.deadline_s * MS_PER_S))
+            headers.append((HEADER_DEADLINE, str(remaining_ms)))
         if options.workspace:
-            headers.append((TENANT, options.workspace))
+            headers.append((HEADER_TENANT, options.workspace))
         if options.urgency is not None:
-            headers.append((URGENCY, str(options.urgency)))
+            headers.append((HEADER_URGENCY, str(options.urgency)))
         if options.resume_after is not None:
-            headers.append((RESUME_AFTER, str(options.resume_after)))
+            headers.append((HEADER_LAST_EVENT_ID, str(options.resume_after)))
         return headers
 
     def read_answer(
         self, request: CallerRequest, status: int, headers: Mapping[str, str]
     ) -> AnswerHead:
-        """Return what an answer's head says."""
-        refused = NOT_EXECUTED in headers or status == MISDIRECTED
+        """Decode the status and headers of a target's answer."""
+        not_run = HEADER_NOT_EXECUTED in headers or status == HTTP_MISDIRECTED
         return AnswerHead(
             status=status,
-            not_run=refused,
-            misdirected=status == MISDIRECTED,
-            signed=SEAL in headers,
-            # An answer to another request may arrive late on a connection.
-            named=ATTEMPT_ID in headers,
-            own=headers.get(ATTEMPT_ID) == request.request,
+            not_run=not_run,
+            misdirected=status == HTTP_MISDIRECTED,
+            signed=HEADER_SEAL in headers,
+            # A late answer to an earlier request may arrive on a reused connection.
+            named=HEADER_ATTEMPT_ID in headers,
+            own=headers.get(HEADER_ATTEMPT_ID) == request.request,
             encoded="Content-Encoding" in headers,
             closing=headers.get("Connection", "").lower() == "close",
         )
 
     def write_answer(self, headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-        """Return the headers of a target's answer that go on to the caller."""
-        return list(keep_end_to_end(headers, frozenset()))
+        """Return the headers of a target's answer that are forwarded to the caller."""
+        return list(select_end_to_end(headers, frozenset()))
 
     def write_refusal(self, request: CallerRequest | None) -> list[tuple[str, str]]:
-        """Return the headers that name the request in an answer of our own."""
-        return [(ATTEMPT_ID, request.request)] if request and request.request else []
+        """Return the headers that identify the request in an answer by this host."""
+        return (
+            [(HEADER_ATTEMPT_ID, request.request)]
+            if request and request.request
+            else []
+        )
 
 
-def keep_end_to_end(
-    headers: Iterable[tuple[str, str]], dropped: frozenset[str]
+def select_end_to_end(
+    headers: Iterable[tuple[str, str]], excluded: frozenset[str]
 ) -> Iterable[tuple[str, str]]:
-    """Return the headers that do not concern one connection, less some."""
+    """Return the headers without hop-by-hop and excluded ones."""
     pairs = list(headers)
-    named = {
+    connection_options = {
         item.strip().lower()
         for name, value in pairs
         if name.lower() == "connection"
@@ -155,38 +163,38 @@
     return [
         (name, value)
         for name, value in pairs
-        if name.lower() not in CONNECTION_HEADERS
-        and name.lower() not in dropped
-        and name.lower() not in named
+        if name.lower() not in HOP_BY_HOP_HEADERS
+        and name.lower() not in excluded
+        and name.lower() not in connection_options
     ]
 
 
-def read_token_count(text: str | None) -> tuple[int, int]:
-    """Return the prompt's tokens and the most output tokens."""
+def parse_token_count(text: str | None) -> tuple[int, int]:
+    """Return the number of prompt tokens and the maximum of output tokens."""
     if text is None:
         return 0, 0
     prompt, _, output = text.partition(",")
     try:
         counts = int(prompt), int(output or 0)
     except ValueError as error:
-        raise MalformedRequestError("token counts are not whole numbers") from error
+        raise MalformedRequestError("Token-Count header: not whole numbers") from error
     if min(counts) < 0:
-        raise MalformedRequestError("token counts are negative")
+        raise MalformedRequestError("Token-Count header: a count is negative")
     return counts
 
 
-def read_deadline(text: str | None) -> float | None:
-    """Return the seconds that the caller waits, None if it did not say."""
+def parse_deadline(text: str | None) -> float | None:
+    """Return the caller's deadline in seconds from now, or None without one."""
     if text is None:
         return None
     try:
         return max(0, int(text)) / MS_PER_S
     except ValueError as error:
-        raise MalformedRequestError("the deadline is not a whole number") from error
+        raise MalformedRequestError("Deadline-Ms header: not a whole number") from error
 
 
-def read_prompt(text: str | None) -> tuple[PromptPart, ...]:
-    """Return a prompt's parts in order; what can't be read is left out."""
+def parse_prompt_prefix(text: str | None) -> tuple[PromptPart, ...]:
+    """Return a prompt's parts in order, without malformed ones."""
     parts: list[PromptPart] = []
     for item in (text or "").split(","):
         name, _, tokens = item.strip().partition(":")
--- a/trefoilstage/platform/process.py
+++ b/trefoilstage/platform/process.py
@@ -31,11 +31,11 @@
 from trefoilstage.util.process_start import ProcessStart, read_process_start
 from trefoilstage.util.startup import start_collector
 
-SETTINGS_VARIABLE = "TREFOILSTAGE_CONFIG"
-# What is left of the grace after the drain and the return of tokens.
+SETTINGS_PATH_VARIABLE = "TREFOILSTAGE_CONFIG"
+# Remainder of the shutdown grace period after the drain and the return of tokens.
 STOP_TIMEOUT_S = 0.4
-# A collection takes 30 ms; the callers that waited for the start come first.
-COLLECT_AFTER_S = 1.0
+# A collection takes 30 ms, which would delay callers that wait for the host to start.
+GARBAGE_COLLECTION_DELAY_S = 1.0
 EXIT_CRASHED = 1
 EXIT_BAD_SETTINGS = 2
 
@@ -43,7 +43,7 @@
 async def run_host(
     path: Path, settings: FleetSettings, process_start: ProcessStart, lines: LineWriter
 ) -> None:
-    """Serve until a signal asks to drain."""
+    """Serve until SIGTERM or SIGINT requests a drain."""
     board = make_board(settings)
     connector = aiohttp.TCPConnector(limit=0, local_addr=(settings.address, 0))
     async with aiohttp.ClientSession(connector=connector) as session:
@@ -62,36 +62,36 @@
             lines=lines,
         )
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, host.drain_requested.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, host.drain_requested.set)
         loop.add_signal_handler(signal.SIGUSR1, host.write_dump)
-        loop.add_signal_handler(signal.SIGHUP, check_settings, path, settings)
+        loop.add_signal_handler(signal.SIGHUP, log_settings_changes, path, settings)
         try:
             await host.start()
-            loop.call_later(COLLECT_AFTER_S, start_collector)
+            loop.call_later(GARBAGE_COLLECTION_DELAY_S, start_collector)
             await host.run()
         finally:
             await stop_host(host)
 
 
-def check_settings(path: Path, running: FleetSettings) -> None:
-    """Tell what a changed settings file would change; a restart takes it in.
+def log_settings_changes(path: Path, running: FleetSettings) -> None:
+    """Log which settings differ in the file; they take effect at a restart.
 
-    Addresses and limits are bound at the start, and a host that reopened its ports
-    would cut off its callers.
+    Addresses and limits are fixed at the start, because a host that reopened its ports
+    would disconnect its callers.
     """
     try:
         settings = load_platform_settings(path)
     except SettingsError as error:
         log_event(Event.SETTINGS_REFUSED, findings=str(error))
         return
-    known = running.model_dump()
-    changed = [name for name, value in settings if value != known[name]]
+    running_values = running.model_dump()
+    changed = [name for name, value in settings if value != running_values[name]]
     log_event(Event.SETTINGS_READ, changed=",".join(changed))
 
 
 async def stop_host(host: FleetHost) -> None:
-    """Stop within a bounded time; peers that are gone answer no closing handshake."""
+    """Stop within STOP_TIMEOUT_S, as lost peers complete no closing handshake."""
     try:
         async with asyncio.timeout(STOP_TIMEOUT_S):
             await host.stop()
@@ -100,14 +100,14 @@
 
 
 def main() -> None:
-    """Start the host from the settings that the platform names."""
+    """Run a host with the settings file that the platform names."""
     process_start = read_process_start()
     lines = set_up_events(STANDARD_OUTPUT)
     try:
-        path = Path(os.environ[SETTINGS_VARIABLE])
+        path = Path(os.environ[SETTINGS_PATH_VARIABLE])
         settings = load_platform_settings(path)
     except KeyError:
-        sys.stderr.write(f"{SETTINGS_VARIABLE} is not set\n")
+        sys.stderr.write(f"{SETTINGS_PATH_VARIABLE} is not set\n")
         sys.exit(EXIT_BAD_SETTINGS)
     except SettingsError as error:
         sys.stderr.write(f"{error}\n")
--- a/trefoilstage/platform/settings.py
+++ b/trefoilstage/platform/settings.py
@@ -1,4 +1,4 @@
-"""Read the settings that the platform gives a process."""
+"""Load the settings that the platform passes to a process."""
 
 import os
 from pathlib import Path
@@ -10,12 +10,13 @@
 
 MS_PER_S = 1000.0
 # Set by deploy/system.toml, which also tells the platform where to read metrics. The
-# platform draws all other ports. Without it the kernel picks one; a line says which.
+# platform assigns all other ports. If it is not set, the kernel assigns the metrics
+# port, and the host logs it.
 METRICS_PORT_VARIABLE = "TREFOILSTAGE_METRICS_PORT"
 
 
 def load_platform_settings(path: Path) -> FleetSettings:
-    """Return the settings in a file of key=value lines, or raise all findings."""
+    """Load a file of key=value lines; raise SettingsError with every finding."""
     try:
         text = path.read_text()
     except OSError as error:
@@ -24,11 +25,11 @@
     try:
         return FleetSettings.model_validate(decode_fields(fields))
     except (KeyError, ValueError) as error:
-        raise SettingsError(describe(path.name, error)) from error
+        raise SettingsError(describe_findings(path.name, error)) from error
 
 
 def parse_lines(text: str) -> list[tuple[str, str]]:
-    """Return the keys and values of a file; other lines are passed over."""
+    """Return the keys and values of a file, ignoring comments and other lines."""
     pairs: list[tuple[str, str]] = []
     for line in text.splitlines():
         key, equals, value = line.partition("=")
@@ -38,7 +39,7 @@
 
 
 def decode_fields(fields: dict[str, str]) -> dict[str, object]:
-    """Return the settings under the product's names, as pydantic checks them."""
+    """Return the settings under the names of FleetSettings, not yet validated."""
     caller_address, _, caller_port = fields["listen.front"].rpartition(":")
     _, _, ready_port = fields["listen.ready"].rpartition(":")
     first_port, _, _ = fields["internal_ports"].partition(",")
@@ -52,8 +53,8 @@
         "metrics_port": os.environ.get(METRICS_PORT_VARIABLE, "0"),
         "store_url": f"http://{fields['platform.address']}",
         "store_partitions": fields.get("platform.parts", "1"),
-        # Milliseconds there, seconds here.
-        "target_drain_s": read_ms(fields, "bounds.drain_ms", 2000),
+        # The platform uses milliseconds, FleetSettings seconds.
+        "target_drain_s": read_ms_as_s(fields, "bounds.drain_ms", 2000),
         "shutdown_grace_s": fields.get("bounds.grace_s", "8"),
         "retry_ratio": fields.get("bounds.retry_budget_ratio", "0.2"),
         "retry_slack": fields.get("bounds.retry_budget_slack", "50"),
@@ -61,13 +62,13 @@
     }
 
 
-def read_ms(fields: dict[str, str], name: str, default_ms: float) -> float:
-    """Return a field of milliseconds in seconds."""
+def read_ms_as_s(fields: dict[str, str], name: str, default_ms: float) -> float:
+    """Return a field that is given in milliseconds, in seconds."""
     return float(fields.get(name, default_ms)) / MS_PER_S
 
 
-def describe(file: str, error: KeyError | ValueError) -> str:
-    """Return every finding on a line of its own."""
+def describe_findings(file: str, error: KeyError | ValueError) -> str:
+    """Return the findings, one per line."""
     if isinstance(error, ValidationError):
         return "\n".join(
             f"{file}: {'.'.join(map(str, item['loc']))}: {item['msg']}"
--- a/trefoilstage/platform/store.py
+++ b/trefoilstage/platform/store.py
@@ -1,4 +1,4 @@
-"""Call the platform's store: keyed topics of a log."""
+"""Access the platform's store, a log of topics whose records have keys."""
 
 import base64
 import struct
@@ -29,20 +29,20 @@
 HTTP_OK = 200
 HTTP_GONE = 410
 HTTP_CONFLICT = 412
-# The store answers in 5 to 9 ms, and 60 times as slowly on a bad day.
+# The store normally answers in 5 to 9 ms, and 60 times as slowly when degraded.
 CALL_TIMEOUT_S = 1.5
 CONNECT_TIMEOUT_S = 0.5
-LENGTH = struct.Struct(">I")
-OFFSETS = struct.Struct(">QQ")
-# Stands for a value that can't be decoded; no decoder of ours takes it.
-UNREADABLE = b"\xff"
+RECORD_LENGTH = struct.Struct(">I")
+PARTITION_OFFSETS = struct.Struct(">QQ")
+# Replaces a value that cannot be decoded; every decoder in this project rejects it.
+UNREADABLE_VALUE = b"\xff"
 ModelT = TypeVar("ModelT", bound=BaseModel)
 
 
 class WireItem(BaseModel):
-    """Check the newest record of a key.
+    """Describe the newest record of a key.
 
-    Another writer's record may be anything; it must not cost the others of its page.
+    Another writer's record may be malformed; the rest of its page must stay readable.
     """
 
     key: str
@@ -51,36 +51,37 @@
 
 
 class WirePage(BaseModel):
-    """Check a page of the newest records."""
+    """Describe a page of the newest records."""
 
-    items: list[Any]  # each is checked by itself
+    items: list[Any]  # each item is validated separately
     has_more: bool = False
     end_offset: int
 
 
 class WireAppended(BaseModel):
-    """Check the answer to an append."""
+    """Describe the answer to an append."""
 
     offset: Annotated[int, Field(ge=0)]
 
 
 class StoreClient:
-    """Read and write the store over HTTP, one connection a call in flight."""
+    """Read and write the store over HTTP, with one connection per pending call."""
 
     def __init__(self, *, session: aiohttp.ClientSession, url: str) -> None:
         self._session = session
         self._url = url
 
     async def list_newest(self, topic: Topic, partition: int = 0) -> Listing:
-        """Return the newest record of each key."""
+        """Return the newest record of each key, from all pages."""
         records: list[KeyedRecord] = []
         after: str | None = None
         end_offset: int | None = None
         while True:
             page = await self._list_page(topic, partition, after)
-            # Pages are no snapshot: only what the first page knew was complete.
+            # The pages are not one snapshot: the listing is complete only up to the end
+            # offset of the first page.
             end_offset = page.end_offset if end_offset is None else end_offset
-            items = decode_items(page.items, topic)
+            items = validate_items(page.items, topic)
             records += [decode_item(item) for item in items]
             if not page.has_more or not items:
                 return Listing(records=records, end_offset=end_offset)
@@ -99,7 +100,10 @@
     async def read(
         self, topic: Topic, offset: int, wait_s: float, partition: int = 0
     ) -> Listing:
-        """Return the records from an offset on; wait for one if there is none."""
+        """Return the records from an offset on; wait up to `wait_s` for the first.
+
+        Raise OffsetExpiredError if the store no longer keeps the offset.
+        """
         params = {
             "topic": TOPICS[topic],
             "part": str(partition),
@@ -123,7 +127,7 @@
         partition: int = 0,
         at: int | None = None,
     ) -> int | None:
-        """Write a key and return its offset, None if the topic didn't end at `at`."""
+        """Write a key; return its offset, or None if the topic did not end at `at`."""
         params = {"topic": TOPICS[topic], "part": str(partition)}
         if at is not None:
             params["at"] = str(at)
@@ -164,58 +168,58 @@
 
 
 def decode_model(model: type[ModelT], data: bytes) -> ModelT:
-    """Return a checked body, or raise StoreUnavailableError."""
+    """Decode a response body; raise StoreUnavailableError if it is malformed."""
     try:
         return model.model_validate_json(data)
     except ValidationError as error:
         raise StoreUnavailableError(f"malformed answer: {model.__name__}") from error
 
 
-def decode_items(items: list[Any], topic: Topic) -> list[WireItem]:
-    """Return the items that can be read; log each of the others."""
-    found: list[WireItem] = []
+def validate_items(items: list[Any], topic: Topic) -> list[WireItem]:
+    """Return the valid items of a page and log each invalid one."""
+    valid: list[WireItem] = []
     for item in items:
         try:
-            found.append(WireItem.model_validate(item, strict=True))
+            valid.append(WireItem.model_validate(item, strict=True))
         except ValidationError as error:
             log_event(
                 Event.RECORD_MALFORMED,
                 topic=topic,
                 key="",
-                error=f"{error.error_count()} fields of a listed record",
+                error=f"{error.error_count()} invalid fields in a listed record",
             )
-    return found
+    return valid
 
 
 def decode_item(item: WireItem) -> KeyedRecord:
-    """Return the record of a listed item."""
+    """Convert a listed item to a record; invalid base64 becomes UNREADABLE_VALUE."""
     try:
         value = base64.b64decode(item.value, validate=True)
     except ValueError:
-        value = UNREADABLE
+        value = UNREADABLE_VALUE
     return KeyedRecord(key=item.key, offset=item.offset, value=value or None)
 
 
 def encode_record(key: str, value: bytes | None) -> bytes:
-    """Return a keyed record with its length before it."""
-    name = key.encode()
-    content = bytes([len(name)]) + name + (value or b"")
-    return LENGTH.pack(len(content)) + content
+    """Encode a keyed record, prefixed with its length."""
+    encoded_key = key.encode()
+    content = bytes([len(encoded_key)]) + encoded_key + (value or b"")
+    return RECORD_LENGTH.pack(len(content)) + content
 
 
 def decode_records(data: bytes, offset: int) -> Listing:
-    """Return the records of a read that began at an offset."""
+    """Decode the response to a read that began at an offset."""
     records: list[KeyedRecord] = []
     try:
-        # Where the partition ends and what it keeps; one answer may hold less, so
-        # neither tells where to read on.
-        OFFSETS.unpack_from(data)
-        position = OFFSETS.size
+        # The response starts with the partition's end and its first kept offset. It may
+        # contain only some of the records up to the end, so neither is the next offset.
+        PARTITION_OFFSETS.unpack_from(data)
+        position = PARTITION_OFFSETS.size
         while position < len(data):
-            (length,) = LENGTH.unpack_from(data, position)
-            position += LENGTH.size
+            (length,) = RECORD_LENGTH.unpack_from(data, position)
+            position += RECORD_LENGTH.size
             if position + length > len(data):
-                raise StoreUnavailableError("torn records")
+                raise StoreUnavailableError("truncated records")
             content = data[position : position + length]
             position += length
             records.append(decode_content(content, offset + len(records)))
@@ -225,13 +229,13 @@
 
 
 def decode_content(content: bytes, offset: int) -> KeyedRecord:
-    """Return a keyed record: length of the key, key, value.
+    """Decode a keyed record, which consists of the key's length, the key and the value.
 
-    A key that is no text is a key all the same: a record that raised here would hold
-    up every later one of its topic.
+    A key that is not valid UTF-8 is escaped: an exception here would block every later
+    record of the topic.
     """
     if not content or len(content) <= content[0]:
-        return KeyedRecord(key="", offset=offset, value=UNREADABLE)
+        return KeyedRecord(key="", offset=offset, value=UNREADABLE_VALUE)
     end = 1 + content[0]
     key = content[1:end].decode(errors="backslashreplace")
     return KeyedRecord(key=key, offset=offset, value=content[end:] or None)
