--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""Drive the operators' command line as a process against a small fleet."""
+"""Run the command line for operators as a process against a small fleet."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 from tests.common import SECRET, Fleet
 from trefoilstage.cli.output import ExitCode
 
-COMMAND = "from trefoilstage.cli.main import main; main()"
+ENTRY_POINT = "from trefoilstage.cli.main import main; main()"
 TIMEOUT_S = 40.0
 DEAD_URL = "http://127.0.0.1:9"
 VERBS = (
@@ -41,51 +41,55 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Result:
-    """Hold what a command printed and its exit code."""
+class CommandResult:
+    """Describe the output and the exit code of a command."""
 
     code: int
     out: str
     err: str
 
 
-async def run(*words: str, given: str = "", **environment: str) -> Result:
-    """Run one command to its end."""
+async def run_command(
+    *arguments: str, stdin: str = "", **environment: str
+) -> CommandResult:
+    """Run one command until it exits."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-c",
-        COMMAND,
-        *words,
+        ENTRY_POINT,
+        *arguments,
         stdin=asyncio.subprocess.PIPE,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
         env={**os.environ, "USER": "operator-a", "COLUMNS": "200", **environment},
     )
-    out, err = await asyncio.wait_for(process.communicate(given.encode()), TIMEOUT_S)
-    return Result(code=process.returncode or 0, out=out.decode(), err=err.decode())
+    out, err = await asyncio.wait_for(process.communicate(stdin.encode()), TIMEOUT_S)
+    return CommandResult(
+        code=process.returncode or 0, out=out.decode(), err=err.decode()
+    )
 
 
 class CommandTest(unittest.IsolatedAsyncioTestCase):
-    """Run commands that need no fleet."""
+    """Test commands that need no fleet."""
 
-    async def test_each_verb_has_examples(self) -> None:
+    async def test_each_subcommand_has_examples(self) -> None:
         results = await asyncio.gather(
-            *(run(*verb.split(), "--help") for verb in VERBS[:6]),
+            *(run_command(*subcommand.split(), "--help") for subcommand in VERBS[:6]),
         )
         for batch in (VERBS[6:12], VERBS[12:]):
             results += await asyncio.gather(
-                *(run(*verb.split(), "--help") for verb in batch)
+                *(run_command(*subcommand.split(), "--help") for subcommand in batch)
             )
-        for verb, result in zip(VERBS, results, strict=True):
-            self.assertEqual(result.code, ExitCode.OK, verb)
-            self.assertIn(f"trefoilstage {verb}", result.out.split("Example")[1])
+        for subcommand, result in zip(VERBS, results, strict=True):
+            self.assertEqual(result.code, ExitCode.OK, subcommand)
+            self.assertIn(f"trefoilstage {subcommand}", result.out.split("Example")[1])
 
-    async def test_check_finds_everything_at_once(self) -> None:
+    async def test_config_check_reports_all_findings(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder)
             (path / "10-a.toml").write_text("[budgets.x]\ntokens = -1\nsize = 3\n")
             (path / "20-b.toml").write_text('[workspaces.w]\nbudget = "X!"\n')
-            result = await run("config", "check", folder)
+            result = await run_command("config", "check", folder)
             self.assertEqual(result.code, ExitCode.REJECTED, result.err)
             for line in (
                 "10-a.toml:2: budgets.x.tokens: ",
@@ -93,72 +97,86 @@
                 "20-b.toml:2: workspaces.w.budget: ",
             ):
                 self.assertIn(line, result.err)
-            found = json.loads((await run("config", "check", folder, "--json")).out)
+            found = json.loads(
+                (await run_command("config", "check", folder, "--json")).out
+            )
             self.assertEqual([item["line"] for item in found], [2, 3, 2])
 
-    async def test_unreachable_and_wrong_usage_have_codes(self) -> None:
-        result = await run("budget", "show", "--host", DEAD_URL)
+    async def test_unreachable_host_and_wrong_usage_set_exit_code(self) -> None:
+        result = await run_command("budget", "show", "--host", DEAD_URL)
         self.assertEqual(result.code, ExitCode.UNREACHABLE, result.err)
-        result = await run("budget", "show", TREFOILSTAGE_HOST=" ")
+        result = await run_command("budget", "show", TREFOILSTAGE_HOST=" ")
         self.assertEqual(result.code, ExitCode.USAGE, result.err)
-        result = await run("budget", "top-up", "x", "0", "--host", DEAD_URL)
+        result = await run_command("budget", "top-up", "x", "0", "--host", DEAD_URL)
         self.assertEqual(result.code, ExitCode.USAGE, result.err)
         self.assertNotIn("Traceback", result.err)
 
-    async def test_key_is_made_and_hashed(self) -> None:
-        made = await run("key", "hash", "--new")
-        again = await run("key", "hash", given=made.out)
-        self.assertEqual(again.out, made.err)
-        self.assertRegex(again.out, r"^[0-9a-f]{64}\n$")
+    async def test_key_is_created_and_hashed(self) -> None:
+        created = await run_command("key", "hash", "--new")
+        hashed = await run_command("key", "hash", stdin=created.out)
+        self.assertEqual(hashed.out, created.err)
+        self.assertRegex(hashed.out, r"^[0-9a-f]{64}\n$")
 
 
 class FleetCommandTest(unittest.IsolatedAsyncioTestCase):
-    """Run commands against hosts."""
+    """Test commands against the hosts of a running fleet."""
 
-    async def test_configuration_is_published_guarded_and_removed(self) -> None:
+    async def test_configuration_is_published_checked_and_removed(self) -> None:
         async with Fleet(n_hosts=2) as fleet:
             env = {"TREFOILSTAGE_HOST": fleet.hosts[0].operator_url}
             with tempfile.TemporaryDirectory() as folder:
                 path = Path(folder) / "50-more.toml"
                 path.write_text("[budgets.more]\ntokens = 10\n")
-                words = ("config", "publish", folder, "--wait-all")
-                result = await run(*words, "--operation", "ticket-17", **env)
+                publish_arguments = ("config", "publish", folder, "--wait-all")
+                result = await run_command(
+                    *publish_arguments, "--operation", "ticket-17", **env
+                )
                 self.assertEqual(result.code, ExitCode.OK, result.err)
                 self.assertIn("in force on 2 hosts", result.err)
-                shown = await run("config", "show", "--json", **env)
+                shown = await run_command("config", "show", "--json", **env)
                 files = {item["name"]: item for item in json.loads(shown.out)}
                 revision = files[path.name]["revision"]
                 self.assertEqual(files[path.name]["author"], "operator-a")
 
                 path.write_text("[budgets.more]\ntokens = 20\n")
-                result = await run(*words, **env)
+                result = await run_command(*publish_arguments, **env)
                 self.assertEqual(result.code, ExitCode.USAGE)
                 self.assertIn(f"--base {revision}", result.err)
                 self.assertIn("+tokens = 20", result.err)
-                result = await run(*words, "--operation", "ticket-17", **env)
-                self.assertEqual(result.code, ExitCode.OK, "a repeat, not a change")
-                result = await run(*words, "--base", str(revision), **env)
+                result = await run_command(
+                    *publish_arguments, "--operation", "ticket-17", **env
+                )
+                self.assertEqual(
+                    result.code,
+                    ExitCode.OK,
+                    "a repeat of an accepted operation is accepted",
+                )
+                result = await run_command(
+                    *publish_arguments, "--base", str(revision), **env
+                )
                 self.assertEqual(result.code, ExitCode.OK, result.err)
 
                 path.write_text("[budgets.more]\ntokens = 30\n")
-                result = await run(*words, "--base", str(revision), **env)
+                result = await run_command(
+                    *publish_arguments, "--base", str(revision), **env
+                )
                 self.assertEqual(result.code, ExitCode.REJECTED)
                 self.assertIn("conflict", result.err)
                 self.assertIn("-tokens = 20", result.err)
-            result = await run("config", "remove", "50-more.toml", **env)
+            result = await run_command("config", "remove", "50-more.toml", **env)
             self.assertEqual(result.code, ExitCode.OK, result.err)
-            result = await run("config", "remove", "10-base.toml", **env)
+            result = await run_command("config", "remove", "10-base.toml", **env)
             self.assertEqual(result.code, ExitCode.OK, result.err)
-            history = await run("config", "history", "--last", "4", **env)
+            history = await run_command("config", "history", "--last", "4", **env)
             self.assertEqual(len(history.out.splitlines()), 4)
 
-    async def test_racing_operators_get_one_winner_and_one_conflict(self) -> None:
-        """Publish one file from two commands at once through two hosts.
+    async def test_concurrent_publishes_accept_one_and_report_conflict(self) -> None:
+        """Publish different contents of one file through two hosts at the same time.
 
-        Both operators began from the same revision and both commands look at
-        what is in force before either change has landed. The log orders them:
-        the first is accepted; the second is told of the conflict and of what
-        is in force now, and nothing of the winner's file is lost.
+        Both commands read the files in force before either change is in the log, so
+        both use the same base revision. The log orders the changes: the first one is
+        accepted, and the second one must be reported as a conflict with the file that
+        is now in force, and must not overwrite it.
         """
         async with Fleet(n_hosts=2) as fleet:
             with tempfile.TemporaryDirectory() as folder:
@@ -168,7 +186,7 @@
                     path.parent.mkdir()
                     path.write_text(f"[budgets.race]\ntokens = {number + 1}\n")
                     commands.append(
-                        run(
+                        run_command(
                             "config",
                             "publish",
                             str(path),
@@ -187,13 +205,13 @@
             content = {item["name"]: item["content"] for item in state}
             self.assertIn(f"tokens = {winner + 1}\n", content["50-race.toml"])
 
-    async def test_top_up_with_a_lost_answer_counts_once(self) -> None:
-        """Lose the answer to a top-up after it took effect.
+    async def test_top_up_with_lost_answer_is_applied_once(self) -> None:
+        """Lose the answer to a top-up after the top-up took effect.
 
-        The operator names two hosts. The first takes the top-up to the log,
-        but its answer is lost on the way; the command sends the same operation
-        to the second. The fold knows the operation, so the budget is raised
-        once and the operator is told that it was accepted.
+        The command has the addresses of two hosts. The first host appends the top-up to
+        the log, but its answer is lost, so the command sends the same operation to the
+        second host. The fold recognizes the operation: the budget must be raised only
+        once, and the command must report that the top-up was accepted.
         """
         async with Fleet(n_hosts=2) as fleet:
             first, second = fleet.hosts
@@ -203,19 +221,21 @@
             try:
                 proxy.rules["127.0.0.1"].lose_answers = 1
                 hosts = f"{proxy.url},{second.operator_url}"
-                result = await run("budget", "top-up", "brest", "500", "--host", hosts)
+                result = await run_command(
+                    "budget", "top-up", "brest", "500", "--host", hosts
+                )
             finally:
                 await proxy.stop()
             self.assertEqual(result.code, ExitCode.OK, result.err)
             self.assertEqual(proxy.rules["127.0.0.1"].lose_answers, 0)
 
-            async def get_paid() -> Any:
+            async def get_paid_amounts() -> Any:
                 return [(await fleet.get_budget(host))["paid"] for host in fleet.hosts]
 
-            async def is_raised() -> bool:
-                return bool(await get_paid() == [fleet.tokens + 500] * 2)
+            async def is_raised_on_both() -> bool:
+                return bool(await get_paid_amounts() == [fleet.tokens + 500] * 2)
 
-            await wait_for(is_raised, "the top-up on both hosts", timeout_s=5)
+            await wait_for(is_raised_on_both, "the top-up on both hosts", timeout_s=5)
 
     async def test_targets_hosts_requests_and_log_are_shown(self) -> None:
         async with Fleet(n_hosts=2, n_engines=2) as fleet:
@@ -225,37 +245,45 @@
                 "TREFOILSTAGE_KEY": SECRET,
                 "TREFOILSTAGE_LOG": fleet.log.url,
             }
-            sent = await run("request", "send", "hello", "--max-tokens", "5", **env)
+            sent = await run_command(
+                "request", "send", "hello", "--max-tokens", "5", **env
+            )
             self.assertEqual(sent.code, ExitCode.OK, sent.err)
             self.assertEqual(len(sent.out.split()), 5)
             self.assertIn("complete, 7 tokens", sent.err)
-            refused = await run("request", "send", "x", "--model", "none", **env)
+            refused = await run_command(
+                "request", "send", "x", "--model", "none", **env
+            )
             self.assertEqual(refused.code, ExitCode.REJECTED)
             self.assertIn("refused (not_run), unknown_model", refused.err)
-            called = await run("request", "call", "booking", "confirm", "{}", **env)
+            called = await run_command(
+                "request", "call", "booking", "confirm", "{}", **env
+            )
             self.assertEqual(json.loads(called.out)["confirmation"], 1)
 
-            left = await run("target", "leave", "engine-1", "--wait-all", **env)
+            left = await run_command("target", "leave", "engine-1", "--wait-all", **env)
             self.assertEqual(left.code, ExitCode.OK, left.err)
-            listed = await run("target", "list", "--json", **env)
+            listed = await run_command("target", "list", "--json", **env)
             states = {item["name"]: item["state"] for item in json.loads(listed.out)}
             self.assertEqual(states, {"engine-0": "serving", "engine-1": "leaving"})
-            returned = await run("target", "return", "engine-1", **env)
+            returned = await run_command("target", "return", "engine-1", **env)
             self.assertEqual(returned.code, ExitCode.OK, returned.err)
 
-            shown = await run("host", "state", "host-1", **env)
+            shown = await run_command("host", "state", "host-1", **env)
             self.assertRegex(shown.out, r"phase +serving\n")
-            full = await run("host", "state", "host-1", "--full", **env)
+            full = await run_command("host", "state", "host-1", "--full", **env)
             self.assertIn("blackboard", json.loads(full.out))
-            tail = await run("log", "tail", "ledger-0", **env)
+            tail = await run_command("log", "tail", "ledger-0", **env)
             self.assertRegex(tail.out, r"(?m)^\d+ kind=draw incarnation=host-0-")
-            drained = await run("host", "drain", "host-1", **env)
+            drained = await run_command("host", "drain", "host-1", **env)
             self.assertEqual(drained.code, ExitCode.OK, drained.err)
             await asyncio.wait_for(fleet.hosts[1].process.wait(), TIMEOUT_S)
-            declared = await run("host", "declare-lost", "host-0", "--json", **env)
+            declared = await run_command(
+                "host", "declare-lost", "host-0", "--json", **env
+            )
             answers = {item["host"]: item["hosts"] for item in json.loads(declared.out)}
             self.assertEqual(answers["host-0"], ["host-0"])
-            unknown = await run("host", "declare-lost", "host-9", **env)
+            unknown = await run_command("host", "declare-lost", "host-9", **env)
             self.assertEqual(unknown.code, ExitCode.REJECTED, unknown.err)
             for result in (sent, refused, called, full, tail):
                 self.assertNotIn(SECRET, result.out + result.err)
--- a/trefoilstage/cli/__init__.py
+++ b/trefoilstage/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Drive a fleet from the command line."""
+"""Operate a fleet from the command line."""
--- a/trefoilstage/cli/budget.py
+++ b/trefoilstage/cli/budget.py
@@ -10,14 +10,14 @@
     HostOption,
     JsonOption,
     OperationOption,
-    finish_change,
+    get_or_create_operation,
     make_client,
-    pick_operation,
+    report_verdict,
 )
 from trefoilstage.cli.output import print_rows
 from trefoilstage.components.operators.models import BudgetAnswer, TopUpBody
 
-BUDGETS = TypeAdapter(list[BudgetAnswer])
+BUDGETS_ADAPTER = TypeAdapter(list[BudgetAnswer])
 COLUMNS = ("name", "paid", "spent", "held", "free", "doubtful")
 
 SHOW_EXAMPLES = """Examples:
@@ -37,21 +37,21 @@
 @cappa.command(name="show", epilog=SHOW_EXAMPLES)
 @dataclass(kw_only=True)
 class BudgetShowCommand:
-    """Show what each budget has paid, spent, held and free, in tokens."""
+    """Show the paid, spent, held and free tokens of each budget."""
 
     host: HostOption
     json: JsonOption = False
 
     def __call__(self) -> None:
         """Print the budgets."""
-        budgets = make_client(self.host).get("/budgets", BUDGETS)
+        budgets = make_client(self.host).get("/budgets", BUDGETS_ADAPTER)
         print_rows(budgets, COLUMNS, as_json=self.json)
 
 
 @cappa.command(name="top-up", epilog=TOP_UP_EXAMPLES)
 @dataclass(kw_only=True)
 class TopUpCommand:
-    """Raise a budget by tokens that were paid for."""
+    """Add paid tokens to a budget."""
 
     name: Annotated[str, cappa.Arg(help="the budget's name")]
     amount: Annotated[int, cappa.Arg(help="tokens to add")]
@@ -60,10 +60,14 @@
     operation: OperationOption = None
 
     def __call__(self) -> None:
-        """Top the budget up."""
-        body = TopUpBody(operation=pick_operation(self.operation), amount=self.amount)
-        answer = make_client(self.host).change(f"/budgets/{self.name}/top-up", body)
-        finish_change(answer, what=f"{self.name} +{self.amount}", as_json=self.json)
+        """Send the top-up and print the verdict."""
+        body = TopUpBody(
+            operation=get_or_create_operation(self.operation), amount=self.amount
+        )
+        answer = make_client(self.host).submit_change(
+            f"/budgets/{self.name}/top-up", body
+        )
+        report_verdict(answer, subject=f"{self.name} +{self.amount}", as_json=self.json)
 
 
 @cappa.command(name="budget")
--- a/trefoilstage/cli/caller.py
+++ b/trefoilstage/cli/caller.py
@@ -1,4 +1,4 @@
-"""Call the hosts' callers' interface."""
+"""Call the HTTP interface that hosts offer to callers."""
 
 from collections.abc import AsyncIterator, Mapping, Sequence
 from contextlib import asynccontextmanager
@@ -18,7 +18,7 @@
 
 
 class RefusalBody(BaseModel):
-    """Check what a refusal tells."""
+    """Describe why a host refused a request and whether the request ran."""
 
     reason: str
     effect: str
@@ -28,13 +28,13 @@
 
 
 class RefusalAnswer(BaseModel):
-    """Check the body of a refusal."""
+    """Describe the body of a refusal."""
 
     error: RefusalBody
 
 
 class RefusedError(TrefoilstageError):
-    """Report a typed refusal."""
+    """Report that a host refused a request."""
 
     def __init__(self, *, refusal: RefusalBody) -> None:
         super().__init__(f"{refusal.reason}: {refusal.message}")
@@ -42,12 +42,12 @@
 
 
 class BrokenAnswerError(TrefoilstageError):
-    """Report an answer that ended without its end mark."""
+    """Report an answer that is malformed or ended without its end marker."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Piece:
-    """Hold the new text of a chunk, and the usage on the last one."""
+class AnswerChunk:
+    """Describe a chunk of a streamed answer; only the last one has the usage."""
 
     request: str
     text: str
@@ -55,25 +55,29 @@
 
 
 class CallerClient:
-    """Send requests as a workspace to the first host that takes a connection."""
+    """Send requests as a workspace to the first host that accepts a connection."""
 
-    def __init__(self, *, urls: Sequence[str], secret: str, key: str) -> None:
+    def __init__(
+        self, *, urls: Sequence[str], secret: str, idempotency_key: str
+    ) -> None:
         self._urls = [url.rstrip("/") for url in urls]
         self._secret = secret
-        self._key = key
+        self._idempotency_key = idempotency_key
 
     @asynccontextmanager
-    async def open(
+    async def send_request(
         self, method: str, path: str, body: bytes, headers: Mapping[str, str]
     ) -> AsyncIterator[aiohttp.ClientResponse]:
-        """Open a request; raise NotReadyError when no host takes a connection."""
+        """Send a request; raise NotReadyError if no host accepts a connection."""
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
-            response = await self._connect(session, method, path, body, headers)
+            response = await self._send_to_first_host(
+                session, method, path, body, headers
+            )
             async with response:
                 yield response
 
-    async def _connect(
+    async def _send_to_first_host(
         self,
         session: aiohttp.ClientSession,
         method: str,
@@ -81,30 +85,30 @@
         body: bytes,
         headers: Mapping[str, str],
     ) -> aiohttp.ClientResponse:
-        problems = []
-        sent = {
+        errors = []
+        request_headers = {
             **headers,
             "Authorization": f"Bearer {self._secret}",
             "Content-Type": "application/json",
-            HEADER_IDEMPOTENCY_KEY: self._key,
+            HEADER_IDEMPOTENCY_KEY: self._idempotency_key,
         }
         for url in self._urls:
             try:
                 return await session.request(
-                    method, f"{url}{path}", data=body, headers=sent
+                    method, f"{url}{path}", data=body, headers=request_headers
                 )
-            # The key makes it safe to send a request again, also one whose
-            # host was lost after it had begun.
+            # The idempotency key makes it safe to send the request again, also when
+            # the first host failed after it had started the request.
             except (aiohttp.ClientError, TimeoutError, OSError) as error:
-                problems.append(f"{url}: {type(error).__name__}")
-        raise NotReadyError("; ".join(problems))
+                errors.append(f"{url}: {type(error).__name__}")
+        raise NotReadyError("; ".join(errors))
 
 
-async def read_pieces(response: aiohttp.ClientResponse) -> AsyncIterator[Piece]:
-    """Yield a streamed answer up to its end mark."""
+async def read_chunks(response: aiohttp.ClientResponse) -> AsyncIterator[AnswerChunk]:
+    """Yield the chunks of a streamed answer up to its end marker."""
     request = response.headers.get(HEADER_REQUEST_ID, "")
     if response.status != HTTP_OK:
-        raise read_refusal(await response.read(), response.status)
+        raise parse_refusal(await response.read(), response.status)
     try:
         async for line in response.content:
             if not line.startswith(DATA_PREFIX):
@@ -112,24 +116,24 @@
             data = line.removeprefix(DATA_PREFIX).strip()
             if data == END_OF_STREAM:
                 return
-            yield read_piece(data, request)
+            yield parse_chunk(data, request)
     except (aiohttp.ClientError, OSError) as error:
         raise BrokenAnswerError(type(error).__name__) from error
-    raise BrokenAnswerError("no end mark")
+    raise BrokenAnswerError("no end marker")
 
 
-def read_piece(data: bytes, request: str) -> Piece:
-    """Return a chunk's text, or raise the refusal that came in its place."""
+def parse_chunk(data: bytes, request: str) -> AnswerChunk:
+    """Decode a chunk; raise RefusedError if it is a refusal instead."""
     try:
         chunk = ChunkBody.model_validate_json(data)
     except ValidationError as error:
-        raise read_refusal(data, HTTP_OK) from error
+        raise parse_refusal(data, HTTP_OK) from error
     text = chunk.choices[0].delta.content if chunk.choices else ""
-    return Piece(request=request, text=text, usage=chunk.usage)
+    return AnswerChunk(request=request, text=text, usage=chunk.usage)
 
 
-def read_refusal(data: bytes, status: int) -> TrefoilstageError:
-    """Return the refusal in a body."""
+def parse_refusal(data: bytes, status: int) -> TrefoilstageError:
+    """Return the refusal in a body, or BrokenAnswerError if there is none."""
     try:
         return RefusedError(refusal=RefusalAnswer.model_validate_json(data).error)
     except ValidationError:
--- a/trefoilstage/cli/client.py
+++ b/trefoilstage/cli/client.py
@@ -1,4 +1,4 @@
-"""Call the hosts' operators' interface."""
+"""Call the HTTP interface that hosts offer to operators."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -29,14 +29,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HttpAnswer:
-    """Hold a host's status and body."""
+    """Describe a host's response by its HTTP status and body."""
 
     status: int
     body: bytes
 
 
 class OperatorClient:
-    """Call the first of several hosts that answers."""
+    """Call hosts in order until one answers."""
 
     def __init__(
         self, *, urls: Sequence[str], timeout_s: float = CALL_TIMEOUT_S
@@ -45,17 +45,17 @@
         self._timeout_s = timeout_s
 
     def get(self, path: str, adapter: TypeAdapter[AnswerT]) -> AnswerT:
-        """Return the checked answer to a GET."""
+        """Send a GET request and return the validated answer."""
         return self._try_hosts("GET", path, None, adapter.validate_json)
 
-    def change(self, path: str, body: BaseModel) -> VerdictAnswer:
-        """Return the verdict on a change, which is sent until one is known.
+    def submit_change(self, path: str, body: BaseModel) -> VerdictAnswer:
+        """Send a change to the hosts in order until one knows the verdict.
 
-        The next host gets the same operation, so a change that took effect
-        without an answer is told apart from a new one and not made twice.
+        Each host receives the same operation id, so a change that took effect although
+        its answer was lost is recognized and not applied twice.
         """
         answer: VerdictAnswer | None = None
-        problems: list[str] = []
+        errors: list[str] = []
         for url in self._urls:
             try:
                 answer = self._call_host(
@@ -66,16 +66,16 @@
                     VerdictAnswer.model_validate_json,
                 )
             except NotReadyError as error:
-                problems.append(str(error))
+                errors.append(str(error))
                 continue
             if answer.known and answer.reason != "not_ready":
                 return answer
         if answer is not None:
             return answer
-        raise NotReadyError("; ".join(problems))
+        raise NotReadyError("; ".join(errors))
 
     def declare_lost(self, body: DeclareLostBody) -> DeclareLostAnswer:
-        """Tell the first host not to wait for lost ones; no other is tried."""
+        """Tell only the first host not to wait for lost hosts."""
         return self._call_host(
             self._urls[0],
             "POST",
@@ -85,7 +85,7 @@
         )
 
     def drain(self) -> DrainAnswer:
-        """Tell the first host to drain; no other is tried."""
+        """Tell only the first host to drain."""
         return self._call_host(
             self._urls[0], "POST", "/drain", "{}", DrainAnswer.model_validate_json
         )
@@ -97,13 +97,13 @@
         body: str | None,
         parse: Callable[[bytes], AnswerT],
     ) -> AnswerT:
-        problems: list[str] = []
+        errors: list[str] = []
         for url in self._urls:
             try:
                 return self._call_host(url, method, path, body, parse)
             except NotReadyError as error:
-                problems.append(str(error))
-        raise NotReadyError("; ".join(problems))
+                errors.append(str(error))
+        raise NotReadyError("; ".join(errors))
 
     def _call_host(
         self,
@@ -117,7 +117,7 @@
         try:
             return parse(answer.body)
         except ValidationError as error:
-            raise read_error(url, path, answer) from error
+            raise parse_error(url, path, answer) from error
 
     async def _call(self, method: str, url: str, body: str | None) -> HttpAnswer:
         timeout = aiohttp.ClientTimeout(total=self._timeout_s, sock_connect=2.0)
@@ -132,8 +132,8 @@
             raise NotReadyError(f"{url}: {type(error).__name__} {error}") from error
 
 
-def read_error(url: str, path: str, answer: HttpAnswer) -> TrefoilstageError:
-    """Return the error that a host's answer stands for."""
+def parse_error(url: str, path: str, answer: HttpAnswer) -> TrefoilstageError:
+    """Return the error in a host's answer, or NotReadyError if it is malformed."""
     try:
         error: Any = ErrorAnswer.model_validate_json(answer.body)
     except ValidationError:
--- a/trefoilstage/cli/config.py
+++ b/trefoilstage/cli/config.py
@@ -8,9 +8,9 @@
 import cappa
 
 from trefoilstage.cli.common import HostOption, JsonOption, exit_with, fail, make_client
-from trefoilstage.cli.files import FILES, read_files
+from trefoilstage.cli.files import FILES_ADAPTER, read_files
 from trefoilstage.cli.output import ExitCode, print_findings, print_rows
-from trefoilstage.cli.publish import HISTORY, PublishCommand, RemoveCommand
+from trefoilstage.cli.publish import HISTORY_ADAPTER, PublishCommand, RemoveCommand
 from trefoilstage.configuration.merge import merge_files
 
 CHECK_EXAMPLES = """Example:
@@ -32,21 +32,21 @@
 @cappa.command(name="check", epilog=CHECK_EXAMPLES)
 @dataclass(kw_only=True)
 class CheckCommand:
-    """Check a folder of files without a fleet and print every finding."""
+    """Check a folder of configuration files without a fleet; print all findings."""
 
     folder: Annotated[Path, cappa.Arg(help="the folder of TOML files")]
     json: JsonOption = False
 
     def __call__(self) -> None:
-        """Print the findings, or the number of files found good."""
+        """Print the findings, or the number of files if all are valid."""
         if not self.folder.is_dir():
-            fail(ExitCode.USAGE, f"{self.folder} is no folder")
+            fail(ExitCode.USAGE, f"{self.folder} is not a folder")
         files = read_files([self.folder])
         result = merge_files(files)
         if self.json:
             print(json.dumps([asdict(item) for item in result.findings], indent=2))
         elif not result.findings:
-            print(f"{len(files)} files are good")
+            print(f"{len(files)} files are valid")
         if result.findings:
             if not self.json:
                 print_findings(result.findings)
@@ -56,47 +56,53 @@
 @cappa.command(name="show", epilog=SHOW_EXAMPLES)
 @dataclass(kw_only=True)
 class ShowCommand:
-    """Show the files in force in the order of their merge."""
+    """Show the files in force, in the order in which they are merged."""
 
     host: HostOption
     json: JsonOption = False
-    name: Annotated[str | None, cappa.Arg(long=True, help="show one file's text")] = (
-        None
-    )
+    name: Annotated[
+        str | None, cappa.Arg(long=True, help="show the content of one file")
+    ] = None
 
     def __call__(self) -> None:
         """Print the files."""
-        files = make_client(self.host).get("/config/files", FILES)
+        files = make_client(self.host).get("/config/files", FILES_ADAPTER)
         if self.name is None:
             print_rows(files, ("name", "revision", "author"), as_json=self.json)
             return
-        found = [item for item in files if item.name == self.name]
-        if not found:
+        matching_files = [item for item in files if item.name == self.name]
+        if not matching_files:
             fail(ExitCode.REJECTED, f"no file {self.name} is in force")
-        print(found[0].model_dump_json(indent=2) if self.json else found[0].content)
+        print(
+            matching_files[0].model_dump_json(indent=2)
+            if self.json
+            else matching_files[0].content
+        )
 
 
 @cappa.command(name="history", epilog=HISTORY_EXAMPLES)
 @dataclass(kw_only=True)
 class HistoryCommand:
-    """Show what became of the latest changes, oldest first."""
+    """Show the latest changes and their verdicts, oldest first."""
 
     host: HostOption
     json: JsonOption = False
-    last: Annotated[int, cappa.Arg(long=True, help="how many changes")] = 50
+    last: Annotated[int, cappa.Arg(long=True, help="number of changes to show")] = 50
 
     def __call__(self) -> None:
         """Print the changes."""
-        entries = make_client(self.host).get("/config/history", HISTORY)
+        entries = make_client(self.host).get("/config/history", HISTORY_ADAPTER)
         entries = entries[-self.last :] if self.last > 0 else []
         if self.json:
             print(json.dumps([asdict(entry) for entry in entries], indent=2))
             return
         for entry in entries:
-            state = "accepted" if entry.accepted else f"{entry.reason}: {entry.detail}"
+            verdict = (
+                "accepted" if entry.accepted else f"{entry.reason}: {entry.detail}"
+            )
             author = entry.author or "-"
             print(
-                f"{entry.offset:>8}  {entry.action:<8}{entry.name}  {author}  {state}"
+                f"{entry.offset:>8}  {entry.action:<8}{entry.name}  {author}  {verdict}"
             )
 
 
--- a/trefoilstage/cli/key.py
+++ b/trefoilstage/cli/key.py
@@ -1,4 +1,4 @@
-"""Hash callers' bearer keys for the configuration."""
+"""Create callers' bearer keys and hash them for the configuration."""
 
 import secrets
 import sys
@@ -27,21 +27,24 @@
 @cappa.command(name="hash", epilog=HASH_EXAMPLES)
 @dataclass(kw_only=True)
 class KeyHashCommand:
-    """Print the digest of a bearer key, which a workspace's key_sha256 takes."""
+    """Print the digest of a bearer key for a workspace's key_sha256 setting."""
 
     file: Annotated[
-        Path | None, cappa.Arg(long=True, help="the key's file; else standard input")
+        Path | None,
+        cappa.Arg(
+            long=True, help="the file that contains the key; default: standard input"
+        ),
     ] = None
     new: Annotated[
         bool,
         cappa.Arg(
             long=True,
-            help="make a key; it goes to standard output, the digest to error",
+            help="create a key; print it to standard output, its digest to error",
         ),
     ] = False
 
     def __call__(self) -> None:
-        """Print the digest."""
+        """Print the digest, and the key if it is new."""
         if self.new:
             secret = secrets.token_urlsafe(N_KEY_BYTES)
             print(secret)
@@ -53,17 +56,17 @@
 @cappa.command(name="key")
 @dataclass(kw_only=True)
 class KeyCommand:
-    """Make and hash callers' bearer keys."""
+    """Create and hash callers' bearer keys."""
 
     command: cappa.Subcommands[KeyHashCommand]
 
 
 def read_key(path: Path | None) -> str:
-    """Return the key in a file or on standard input; never from an argument."""
+    """Return the key from a file or standard input, never from an argument."""
     try:
         text = path.read_text() if path is not None else sys.stdin.read()
     except (OSError, UnicodeDecodeError) as error:
-        fail(ExitCode.USAGE, f"no key: {error}")
+        fail(ExitCode.USAGE, f"cannot read the key: {error}")
     if not text.strip():
         fail(ExitCode.USAGE, "the key is empty")
     return text.strip()
--- a/trefoilstage/cli/log.py
+++ b/trefoilstage/cli/log.py
@@ -1,4 +1,4 @@
-"""Read the platform's log as records."""
+"""Print records of the platform's log, and log lines about one request."""
 
 import asyncio
 import json
@@ -22,8 +22,8 @@
 from trefoilstage.helpers.stories import LogLine, find_story, read_line
 from trefoilstage.ledger.records import LEDGER_CODEC, LedgerEnvelope
 
-ENVIRONMENT_LOG = "TREFOILSTAGE_LOG"
-TIMEOUT_S = 5.0
+LOG_VARIABLE = "TREFOILSTAGE_LOG"
+READ_TIMEOUT_S = 5.0
 FOLLOW_WAIT_S = 2.0
 
 TAIL_EXAMPLES = """Examples:
@@ -37,18 +37,20 @@
 @cappa.command(name="tail", epilog=TAIL_EXAMPLES)
 @dataclass(kw_only=True)
 class LogTailCommand:
-    """Print a stream's records from the platform's log, one a line."""
+    """Print the records of a stream of the platform's log, one per line."""
 
-    stream: Annotated[str, cappa.Arg(help="config, or ledger-0 and so on")]
+    stream: Annotated[
+        str, cappa.Arg(help="the stream's name: config, ledger-0, ledger-1 and so on")
+    ]
     log: Annotated[
         str,
-        cappa.Arg(
-            long="--log", default=cappa.Env(ENVIRONMENT_LOG), help="the log's URL"
-        ),
+        cappa.Arg(long="--log", default=cappa.Env(LOG_VARIABLE), help="the log's URL"),
     ]
-    start: Annotated[int, cappa.Arg(long=True, help="the first offset")] = 0
-    follow: Annotated[bool, cappa.Arg(long=True, help="wait for more")] = False
-    json: Annotated[bool, cappa.Arg(long=True, help="print JSON, one a line")] = False
+    start: Annotated[int, cappa.Arg(long=True, help="offset of the first record")] = 0
+    follow: Annotated[bool, cappa.Arg(long=True, help="wait for new records")] = False
+    json: Annotated[
+        bool, cappa.Arg(long=True, help="print JSON, one object per line")
+    ] = False
 
     def __call__(self) -> None:
         """Print the records."""
@@ -62,7 +64,7 @@
             while True:
                 try:
                     page = await client.read(
-                        self.stream, offset, wait_s=wait_s, timeout_s=TIMEOUT_S
+                        self.stream, offset, wait_s=wait_s, timeout_s=READ_TIMEOUT_S
                     )
                 except RecordsExpiredError as error:
                     print_error(f"records before {error.earliest} have expired")
@@ -86,22 +88,22 @@
 @cappa.command(name="explain", epilog=EXPLAIN_EXAMPLES)
 @dataclass(kw_only=True)
 class LogExplainCommand:
-    """Tell a request's story from the lines that hosts wrote, over all hosts."""
+    """Print what the log lines of all hosts say about a request."""
 
-    request: Annotated[str, cappa.Arg(help="the request's id, as the caller sent it")]
+    request: Annotated[str, cappa.Arg(help="the request's id, as sent by the caller")]
     files: Annotated[
         list[Path],
-        cappa.Arg(help="files of lines; standard input if there are none"),
+        cappa.Arg(help="files of log lines; default: standard input"),
     ] = field(default_factory=list)
 
     def __call__(self) -> None:
-        """Print the story."""
+        """Print the log lines about the request, its hosts and its workspace."""
         story = find_story(self._read_lines(), self.request)
         if not story.lines:
-            fail(ExitCode.REJECTED, f"no line names the request {self.request}")
+            fail(ExitCode.REJECTED, f"no log line contains the request {self.request}")
         for title, lines in (
-            ("what its hosts believed when it came", story.beliefs),
-            ("its workspace's stocks", story.account),
+            ("state of its hosts when it arrived", story.beliefs),
+            ("draws of its workspace's account", story.account),
             ("the request", story.lines),
         ):
             print(f"{title}:")
@@ -110,17 +112,17 @@
 
     def _read_lines(self) -> Iterator[LogLine]:
         if not self.files:
-            yield from parse_lines(sys.stdin, "-")
+            yield from parse_log_lines(sys.stdin, "-")
         for path in self.files:
             try:
                 with path.open(errors="replace") as stream:
-                    yield from parse_lines(stream, path.stem)
+                    yield from parse_log_lines(stream, path.stem)
             except OSError as error:
                 fail(ExitCode.USAGE, f"{path}: {error.strerror}")
 
 
-def parse_lines(stream: Iterable[str], source: str) -> Iterator[LogLine]:
-    """Yield the lines of ours in a stream."""
+def parse_log_lines(stream: Iterable[str], source: str) -> Iterator[LogLine]:
+    """Yield the log lines of hosts in a stream, ignoring other text."""
     for text in stream:
         line = read_line(text, source)
         if line is not None:
@@ -130,20 +132,20 @@
 @cappa.command(name="log")
 @dataclass(kw_only=True)
 class LogCommand:
-    """Read the platform's log, and the lines that hosts wrote."""
+    """Read the platform's log and the log lines of hosts."""
 
     command: cappa.Subcommands[LogTailCommand | LogExplainCommand]
 
 
 def decode_record(stream: str, data: bytes) -> ConfigEnvelope | LedgerEnvelope:
-    """Return the envelope in a record of a stream."""
+    """Decode a record of a stream to its envelope."""
     if stream == CONFIG_STREAM:
         return CONFIG_CODEC.decode(data)
     return LEDGER_CODEC.decode(data)
 
 
 def format_record(stream: str, record: LogRecord, *, as_json: bool) -> str:
-    """Return a record as one line; keys and bodies are left out."""
+    """Return a record as one line, without keys and bodies."""
     try:
         envelope = decode_record(stream, record.data)
     except MalformedMessageError as error:
--- a/trefoilstage/cli/main.py
+++ b/trefoilstage/cli/main.py
@@ -1,4 +1,4 @@
-"""Run the operators' command line, trefoilstage."""
+"""Run trefoilstage, the command line for operators."""
 
 from dataclasses import dataclass
 
@@ -19,10 +19,10 @@
 
 EXIT_CODES = """Exit codes:
 
-    0  done, or found good
-    1  rejected or refused; the lines printed say what and why
+    0  succeeded, or found valid
+    1  rejected or refused; the output gives the reason
     2  wrong usage
-    3  not known yet; repeat the change with the same --operation
+    3  result not known yet; repeat the change with the same --operation
     4  no host answered
 """
 
@@ -44,7 +44,7 @@
 
 
 def main() -> None:
-    """Run a command; end with its exit code."""
+    """Run a command and exit with its exit code."""
     try:
         cappa.invoke(Trefoilstage)
     except ValidationError as error:
--- a/trefoilstage/cli/output.py
+++ b/trefoilstage/cli/output.py
@@ -1,4 +1,4 @@
-"""Print answers as tables for people or JSON for scripts."""
+"""Print answers as tables or as JSON for scripts."""
 
 import json
 import sys
@@ -11,7 +11,7 @@
 
 
 class ExitCode(IntEnum):
-    """Name the exit codes of the command line."""
+    """List the exit codes of the command line."""
 
     OK = 0
     REJECTED = 1
@@ -23,7 +23,7 @@
 def print_rows(
     rows: Sequence[BaseModel], columns: Sequence[str], *, as_json: bool
 ) -> None:
-    """Print models, one a row."""
+    """Print models as a table with one row each, or as JSON."""
     if as_json:
         print(json.dumps([row.model_dump(mode="json") for row in rows], indent=2))
         return
@@ -36,7 +36,7 @@
 
 
 def print_model(model: BaseModel, columns: Sequence[str], *, as_json: bool) -> None:
-    """Print some of a model's fields, one a line, or the whole as JSON."""
+    """Print some fields of a model, one per line, or the whole model as JSON."""
     if as_json:
         print(model.model_dump_json(indent=2))
         return
@@ -46,11 +46,11 @@
 
 
 def print_findings(findings: Iterable[Finding]) -> None:
-    """Print findings for people on standard error, one a line."""
+    """Print findings to standard error, one per line."""
     for finding in findings:
         print_error(str(finding))
 
 
 def print_error(message: str) -> None:
-    """Print a message for people on standard error."""
+    """Print a message to standard error."""
     sys.stderr.write(f"{message}\n")
--- a/trefoilstage/cli/publish.py
+++ b/trefoilstage/cli/publish.py
@@ -14,17 +14,17 @@
     JsonOption,
     OperationOption,
     WaitAllOption,
+    derive_file_operation,
     fail,
-    finish_change,
     get_author,
+    get_or_create_operation,
     make_client,
-    name_part,
-    pick_operation,
+    report_verdict,
 )
 from trefoilstage.cli.files import (
-    describe_difference,
-    describe_present,
-    get_files,
+    describe_current_file,
+    format_diff,
+    get_files_in_force,
     read_files,
 )
 from trefoilstage.cli.output import ExitCode, print_error
@@ -40,23 +40,24 @@
 from trefoilstage.exceptions import NotReadyError
 from trefoilstage.helpers.verdict import Reason
 
-HOSTS = TypeAdapter(list[HostAnswer])
-STATUS = TypeAdapter(StatusAnswer)
-HISTORY = TypeAdapter(list[HistoryEntry])
-WAIT_ALL_S = 30.0
-WAIT_POLL_S = 0.1
+HOSTS_ADAPTER = TypeAdapter(list[HostAnswer])
+STATUS_ADAPTER = TypeAdapter(StatusAnswer)
+HISTORY_ADAPTER = TypeAdapter(list[HistoryEntry])
+WAIT_ALL_TIMEOUT_S = 30.0
+WAIT_POLL_INTERVAL_S = 0.1
 STATUS_TIMEOUT_S = 2.0
 
 BaseOption = Annotated[
     int | None,
     cappa.Arg(
         long="--base",
-        help="the revision that `config show` gave when your edit began",
+        help="the revision shown by `config show` when you began to edit",
     ),
 ]
 
 ReplaceOption = Annotated[
-    bool, cappa.Arg(long="--replace", help="replace a file whatever it holds now")
+    bool,
+    cappa.Arg(long="--replace", help="replace a file whatever its current content"),
 ]
 
 PUBLISH_EXAMPLES = """Examples:
@@ -75,7 +76,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Publisher:
-    """Make the changes of one command, each over what its author saw."""
+    """Publish and remove files for one command, checking the base revision of each."""
 
     client: OperatorClient
     operation: str
@@ -84,70 +85,74 @@
     as_json: bool = False
 
     def publish(self, name: str, content: str) -> int:
-        """Publish a file and return its revision; end the command if rejected."""
-        operation = name_part(self.operation, name)
+        """Publish a file and return its revision; exit if it is rejected."""
+        operation = derive_file_operation(self.operation, name)
         answer = self._find_verdict(operation)
         if answer is None:
             answer = self._send_publish(operation, name, content)
-        return self._finish(answer, name, content)
+        return self._report(answer, name, content)
 
     def remove(self, name: str) -> int:
-        """Remove a file and return the revision; end the command if rejected."""
-        operation = name_part(self.operation, name)
+        """Remove a file and return the revision; exit if it is rejected."""
+        operation = derive_file_operation(self.operation, name)
         answer = self._find_verdict(operation)
         if answer is None:
             body = RemoveBody(
                 operation=operation,
                 name=name,
-                base_revision=self._pick_base(self._get_present(name), name),
+                base_revision=self._choose_base_revision(
+                    self._get_current_file(name), name
+                ),
                 author=get_author(),
             )
-            answer = self.client.change("/config/remove", body)
-        return self._finish(answer, name, "")
+            answer = self.client.submit_change("/config/remove", body)
+        return self._report(answer, name, "")
 
     def _send_publish(self, operation: str, name: str, content: str) -> VerdictAnswer:
-        present = self._get_present(name)
-        if present is not None and present.content == content:
+        current = self._get_current_file(name)
+        if current is not None and current.content == content:
             return VerdictAnswer(
                 accepted=True,
                 detail="unchanged",
-                revision=present.revision,
+                revision=current.revision,
                 operation=operation,
             )
         body = PublishBody(
             operation=operation,
             name=name,
             content=content,
-            base_revision=self._pick_base(present, name, content),
+            base_revision=self._choose_base_revision(current, name, content),
             author=get_author(),
         )
-        return self.client.change("/config/publish", body)
+        return self.client.submit_change("/config/publish", body)
 
-    def _get_present(self, name: str) -> FileAnswer | None:
-        return get_files(self.client).get(name)
+    def _get_current_file(self, name: str) -> FileAnswer | None:
+        return get_files_in_force(self.client).get(name)
 
-    def _pick_base(
-        self, present: FileAnswer | None, name: str, content: str = ""
+    def _choose_base_revision(
+        self, current: FileAnswer | None, name: str, content: str = ""
     ) -> int:
-        # Without --base nobody knows which text an edit began from, and a file
-        # that a colleague changed meanwhile would be overwritten unseen.
-        if present is None:
+        # Without --base, the revision that the author edited is unknown, and a change
+        # that another operator has made since would be overwritten without notice.
+        if current is None:
             return NEW_FILE
-        seen = self.base is not None and present.revision <= self.base
-        if not seen and not self.replace:
-            self._refuse_unseen(present, name, content)
-        return present.revision
-
-    def _refuse_unseen(self, present: FileAnswer, name: str, content: str) -> NoReturn:
-        print_error(describe_difference(present, name, content))
-        problem = describe_present(present, name)
+        is_seen = self.base is not None and current.revision <= self.base
+        if not is_seen and not self.replace:
+            self._exit_on_unseen_revision(current, name, content)
+        return current.revision
+
+    def _exit_on_unseen_revision(
+        self, current: FileAnswer, name: str, content: str
+    ) -> NoReturn:
+        print_error(format_diff(current, name, content))
+        problem = describe_current_file(current, name)
         if self.base is None:
-            advice = f"give --base {present.revision} if you have seen it"
+            advice = f"give --base {current.revision} if you have seen it"
             fail(ExitCode.USAGE, f"{problem}; {advice}, or --replace")
         fail(ExitCode.REJECTED, f"{name}: conflict: {problem}, base {self.base}")
 
     def _find_verdict(self, operation: str) -> VerdictAnswer | None:
-        for entry in self.client.get("/config/history", HISTORY):
+        for entry in self.client.get("/config/history", HISTORY_ADAPTER):
             if entry.operation == operation:
                 return VerdictAnswer(
                     accepted=entry.accepted,
@@ -159,19 +164,19 @@
                 )
         return None
 
-    def _finish(self, answer: VerdictAnswer, name: str, content: str) -> int:
+    def _report(self, answer: VerdictAnswer, name: str, content: str) -> int:
         if not answer.accepted and answer.reason == Reason.CONFLICT:
-            present = self._get_present(name)
-            print_error(describe_present(present, name))
-            print_error(describe_difference(present, name, content))
-        finish_change(answer, what=name, as_json=self.as_json)
+            current = self._get_current_file(name)
+            print_error(describe_current_file(current, name))
+            print_error(format_diff(current, name, content))
+        report_verdict(answer, subject=name, as_json=self.as_json)
         return answer.revision
 
 
 @cappa.command(name="publish", epilog=PUBLISH_EXAMPLES)
 @dataclass(kw_only=True)
 class PublishCommand:
-    """Publish files or folders and wait until each file is accepted or rejected."""
+    """Publish files or folders and wait for the verdict on each file."""
 
     paths: Annotated[
         list[Path], cappa.Arg(num_args=-1, required=True, help="files or folders")
@@ -186,7 +191,7 @@
     def __call__(self) -> None:
         """Publish the files one by one in the order of their names."""
         files = read_files(self.paths)
-        publisher = open_publisher(
+        publisher = make_publisher(
             host=self.host,
             operation=self.operation,
             base=self.base,
@@ -195,13 +200,13 @@
         )
         revision = max(publisher.publish(name, text) for name, text in files.items())
         if self.wait_all:
-            wait_for_all(publisher.client, revision)
+            wait_for_all_hosts(publisher.client, revision)
 
 
 @cappa.command(name="remove", epilog=REMOVE_EXAMPLES)
 @dataclass(kw_only=True)
 class RemoveCommand:
-    """Remove a file and wait until that is accepted or rejected."""
+    """Remove a file and wait for the verdict."""
 
     name: Annotated[str, cappa.Arg(help="the file's name")]
     host: HostOption
@@ -212,7 +217,7 @@
 
     def __call__(self) -> None:
         """Remove the file."""
-        publisher = open_publisher(
+        publisher = make_publisher(
             host=self.host,
             operation=self.operation,
             base=self.base,
@@ -221,42 +226,44 @@
         )
         revision = publisher.remove(self.name)
         if self.wait_all:
-            wait_for_all(publisher.client, revision)
+            wait_for_all_hosts(publisher.client, revision)
 
 
-def open_publisher(
+def make_publisher(
     *, host: str, operation: str | None, base: int | None, replace: bool, as_json: bool
 ) -> Publisher:
-    """Return a publisher for one command's options."""
+    """Return a publisher for the options of one command."""
     return Publisher(
         client=make_client(host),
-        operation=pick_operation(operation),
+        operation=get_or_create_operation(operation),
         base=base,
         replace=replace,
         as_json=as_json,
     )
 
 
-def wait_for_all(client: OperatorClient, revision: int) -> None:
-    """Wait until a revision is in force on every live host."""
-    deadline = time.monotonic() + WAIT_ALL_S
-    behind: list[str] = []
+def wait_for_all_hosts(client: OperatorClient, revision: int) -> None:
+    """Wait until a revision is in force on every live host; exit on a timeout."""
+    deadline = time.monotonic() + WAIT_ALL_TIMEOUT_S
+    hosts_behind: list[str] = []
     while time.monotonic() < deadline:
-        hosts = [host for host in client.get("/hosts", HOSTS) if host.live]
-        behind = [host.host for host in hosts if not has_revision(host, revision)]
-        if not behind:
+        hosts = [host for host in client.get("/hosts", HOSTS_ADAPTER) if host.live]
+        hosts_behind = [
+            host.host for host in hosts if not has_revision_in_force(host, revision)
+        ]
+        if not hosts_behind:
             print_error(f"in force on {len(hosts)} hosts")
             return
-        time.sleep(WAIT_POLL_S)
-    names = ", ".join(behind)
-    fail(ExitCode.UNKNOWN, f"accepted, but not seen in force on: {names}")
+        time.sleep(WAIT_POLL_INTERVAL_S)
+    names = ", ".join(hosts_behind)
+    fail(ExitCode.UNKNOWN, f"accepted, but not confirmed in force on: {names}")
 
 
-def has_revision(host: HostAnswer, revision: int) -> bool:
-    """Tell whether a host says that it has a revision in force."""
+def has_revision_in_force(host: HostAnswer, revision: int) -> bool:
+    """Return whether a host reports a revision, or a later one, as in force."""
     client = OperatorClient(urls=[host.operator_url], timeout_s=STATUS_TIMEOUT_S)
     try:
-        status = client.get("/status", STATUS)
+        status = client.get("/status", STATUS_ADAPTER)
     except (NotReadyError, OperatorError):
         return False
     return status.revision >= revision
--- a/trefoilstage/cli/request.py
+++ b/trefoilstage/cli/request.py
@@ -1,4 +1,4 @@
-"""Send requests as a caller would."""
+"""Send requests to hosts as a caller."""
 
 import asyncio
 import json
@@ -19,8 +19,8 @@
     CallerClient,
     RefusalBody,
     RefusedError,
-    read_pieces,
-    read_refusal,
+    parse_refusal,
+    read_chunks,
 )
 from trefoilstage.cli.common import JsonOption, exit_with, fail
 from trefoilstage.cli.key import read_key
@@ -30,27 +30,27 @@
 from trefoilstage.exceptions import TrefoilstageError
 from trefoilstage.helpers.verdict import Effect
 
-ENVIRONMENT_URL = "TREFOILSTAGE_URL"
-ENVIRONMENT_KEY = "TREFOILSTAGE_KEY"
+URL_VARIABLE = "TREFOILSTAGE_URL"
+KEY_VARIABLE = "TREFOILSTAGE_KEY"
 
 UrlOption = Annotated[
     str,
     cappa.Arg(
         long="--url",
-        default=cappa.Env(ENVIRONMENT_URL),
-        help="hosts' callers' URLs, comma separated, such as http://10.29.1.10:7000",
+        default=cappa.Env(URL_VARIABLE),
+        help="caller URLs of hosts, comma separated, such as http://10.29.1.10:7000",
     ),
 ]
 KeyFileOption = Annotated[
     Path | None,
     cappa.Arg(
         long="--key-file",
-        help=f"the file of the workspace's bearer key; else ${ENVIRONMENT_KEY}",
+        help=f"file with the workspace's bearer key; default: ${KEY_VARIABLE}",
     ),
 ]
-IdempotencyOption = Annotated[
+IdempotencyKeyOption = Annotated[
     str | None,
-    cappa.Arg(long="--idempotency-key", help="repeat an earlier request under its key"),
+    cappa.Arg(long="--idempotency-key", help="repeat an earlier request with its key"),
 ]
 
 SEND_EXAMPLES = """Examples:
@@ -65,8 +65,8 @@
 """
 
 
-class SentRequest(BaseModel):
-    """Tell what became of a request."""
+class RequestResult(BaseModel):
+    """Describe the result of a request."""
 
     idempotency_key: str
     request: str = ""
@@ -79,14 +79,14 @@
 @cappa.command(name="send", epilog=SEND_EXAMPLES)
 @dataclass(kw_only=True)
 class SendCommand:
-    """Send a chat request and print its answer as it comes."""
+    """Send a chat request and print its answer as it arrives."""
 
     url: UrlOption
-    text: Annotated[str | None, cappa.Arg(help="the message; else standard input")] = (
-        None
-    )
+    text: Annotated[
+        str | None, cappa.Arg(help="the message; default: standard input")
+    ] = None
     key_file: KeyFileOption = None
-    idempotency_key: IdempotencyOption = None
+    idempotency_key: IdempotencyKeyOption = None
     model: Annotated[str, cappa.Arg(long=True)] = "assistant"
     max_tokens: Annotated[int, cappa.Arg(long="--max-tokens")] = 256
     priority: Annotated[int | None, cappa.Arg(long=True)] = None
@@ -95,11 +95,11 @@
 
     def __call__(self) -> None:
         """Send the request."""
-        sent = SentRequest(idempotency_key=self.idempotency_key or uuid.uuid4().hex)
-        client = make_caller(self.url, self.key_file, sent.idempotency_key)
-        run_and_report(self._send(client, sent), sent, as_json=self.json)
+        result = RequestResult(idempotency_key=self.idempotency_key or uuid.uuid4().hex)
+        client = make_caller_client(self.url, self.key_file, result.idempotency_key)
+        run_and_report(self._send(client, result), result, as_json=self.json)
 
-    async def _send(self, client: CallerClient, sent: SentRequest) -> None:
+    async def _send(self, client: CallerClient, result: RequestResult) -> None:
         text = self.text if self.text is not None else sys.stdin.read()
         body = {
             "model": self.model,
@@ -114,14 +114,14 @@
             headers[HEADER_DEADLINE_MS] = str(self.deadline_ms)
         data = json.dumps(body).encode()
         path = "/v1/chat/completions"
-        async with client.open("POST", path, data, headers) as response:
-            async for piece in read_pieces(response):
-                sent.request = piece.request
-                sent.text += piece.text
-                sent.usage = piece.usage or sent.usage
+        async with client.send_request("POST", path, data, headers) as response:
+            async for chunk in read_chunks(response):
+                result.request = chunk.request
+                result.text += chunk.text
+                result.usage = chunk.usage or result.usage
                 if not self.json:
-                    print(piece.text, end="", flush=True)
-        sent.complete = True
+                    print(chunk.text, end="", flush=True)
+        result.complete = True
 
 
 @cappa.command(name="call", epilog=CALL_EXAMPLES)
@@ -132,82 +132,88 @@
     service: Annotated[str, cappa.Arg(help="the service's name")]
     operation: Annotated[str, cappa.Arg(help="the operation's name")]
     url: UrlOption
-    body: Annotated[str, cappa.Arg(help="the body, usually JSON")] = ""
+    body: Annotated[str, cappa.Arg(help="the request body, usually JSON")] = ""
     key_file: KeyFileOption = None
-    idempotency_key: IdempotencyOption = None
+    idempotency_key: IdempotencyKeyOption = None
     method: Annotated[str, cappa.Arg(long=True)] = "POST"
     json: JsonOption = False
 
     def __call__(self) -> None:
         """Send the call."""
-        sent = SentRequest(idempotency_key=self.idempotency_key or uuid.uuid4().hex)
-        client = make_caller(self.url, self.key_file, sent.idempotency_key)
-        run_and_report(self._send(client, sent), sent, as_json=self.json)
+        result = RequestResult(idempotency_key=self.idempotency_key or uuid.uuid4().hex)
+        client = make_caller_client(self.url, self.key_file, result.idempotency_key)
+        run_and_report(self._send(client, result), result, as_json=self.json)
 
-    async def _send(self, client: CallerClient, sent: SentRequest) -> None:
+    async def _send(self, client: CallerClient, result: RequestResult) -> None:
         path = f"/services/{self.service}/{self.operation}"
-        async with client.open(self.method, path, self.body.encode(), {}) as response:
+        async with client.send_request(
+            self.method, path, self.body.encode(), {}
+        ) as response:
             data = await response.read()
             if response.status != HTTP_OK:
-                raise read_refusal(data, response.status)
-        sent.text = data.decode(errors="replace")
-        sent.complete = True
+                raise parse_refusal(data, response.status)
+        result.text = data.decode(errors="replace")
+        result.complete = True
         if not self.json:
-            print(sent.text, end="")
+            print(result.text, end="")
 
 
 @cappa.command(name="request")
 @dataclass(kw_only=True)
 class RequestCommand:
-    """Send requests as a caller would."""
+    """Send requests to hosts as a caller."""
 
     command: cappa.Subcommands[SendCommand | CallCommand]
 
 
-def make_caller(urls: str, key_file: Path | None, key: str) -> CallerClient:
-    """Return a caller's client; the bearer key comes from a file or environment."""
-    secret = os.environ.get(ENVIRONMENT_KEY, "")
+def make_caller_client(
+    urls: str, key_file: Path | None, idempotency_key: str
+) -> CallerClient:
+    """Return a client with the bearer key from a file or the environment."""
+    secret = os.environ.get(KEY_VARIABLE, "")
     if key_file is not None:
         secret = read_key(key_file)
     if not secret:
-        fail(ExitCode.USAGE, f"no bearer key: give --key-file or ${ENVIRONMENT_KEY}")
+        fail(ExitCode.USAGE, f"no bearer key: use --key-file or set ${KEY_VARIABLE}")
     return CallerClient(
-        urls=[url.strip() for url in urls.split(",")], secret=secret, key=key
+        urls=[url.strip() for url in urls.split(",")],
+        secret=secret,
+        idempotency_key=idempotency_key,
     )
 
 
 def run_and_report(
-    sending: Coroutine[None, None, None],
-    sent: SentRequest,
+    request: Coroutine[None, None, None],
+    result: RequestResult,
     *,
     as_json: bool,
 ) -> None:
-    """Send a request, tell what became of it and end with its exit code."""
-    problem: TrefoilstageError | None = None
+    """Run a request, print its result and exit with a code unless it succeeded."""
+    failure: TrefoilstageError | None = None
     try:
-        asyncio.run(sending)
+        asyncio.run(request)
     except (RefusedError, BrokenAnswerError) as error:
-        problem = error
-        sent.refusal = error.refusal if isinstance(error, RefusedError) else None
+        failure = error
+        result.refusal = error.refusal if isinstance(error, RefusedError) else None
     if as_json:
-        print(sent.model_dump_json(indent=2))
+        print(result.model_dump_json(indent=2))
     else:
         print(flush=True)
-        print_error(describe_end(sent, problem))
-    if problem is None:
+        print_error(describe_result(result, failure))
+    if failure is None:
         return
-    not_run = sent.refusal is not None and sent.refusal.effect == Effect.NOT_RUN
+    not_run = result.refusal is not None and result.refusal.effect == Effect.NOT_RUN
     exit_with(ExitCode.REJECTED if not_run else ExitCode.UNKNOWN)
 
 
-def describe_end(sent: SentRequest, problem: TrefoilstageError | None) -> str:
-    """Return one line on how a request ended."""
-    if problem is None:
-        usage = f", {sent.usage.total} tokens" if sent.usage else ""
-        return f"complete{usage}, idempotency key {sent.idempotency_key}"
-    retry = f"; repeat it with --idempotency-key {sent.idempotency_key}"
-    if sent.refusal is None:
-        return f"broke off: {problem}{retry}"
-    wait = sent.refusal.retry_after_s
-    after = f" after {wait:g} s" if wait is not None else ""
-    return f"refused ({sent.refusal.effect}), {problem}{retry}{after}"
+def describe_result(result: RequestResult, failure: TrefoilstageError | None) -> str:
+    """Return one line that describes the result of a request."""
+    if failure is None:
+        usage = f", {result.usage.total} tokens" if result.usage else ""
+        return f"complete{usage}, idempotency key {result.idempotency_key}"
+    retry = f"; repeat it with --idempotency-key {result.idempotency_key}"
+    if result.refusal is None:
+        return f"incomplete: {failure}{retry}"
+    delay_s = result.refusal.retry_after_s
+    after = f" after {delay_s:g} s" if delay_s is not None else ""
+    return f"refused ({result.refusal.effect}), {failure}{retry}{after}"
--- a/trefoilstage/cli/target.py
+++ b/trefoilstage/cli/target.py
@@ -1,4 +1,4 @@
-"""List targets, and let them leave and return."""
+"""List targets, take them out of service and return them."""
 
 from dataclasses import dataclass
 from typing import Annotated
@@ -15,10 +15,10 @@
     make_client,
 )
 from trefoilstage.cli.output import ExitCode, print_rows
-from trefoilstage.cli.publish import Publisher, open_publisher, wait_for_all
+from trefoilstage.cli.publish import Publisher, make_publisher, wait_for_all_hosts
 from trefoilstage.components.operators.models import TargetAnswer
 
-TARGETS = TypeAdapter(list[TargetAnswer])
+TARGETS_ADAPTER = TypeAdapter(list[TargetAnswer])
 COLUMNS = ("name", "model", "site", "state", "active", "failures", "url")
 
 LIST_EXAMPLES = """Example:
@@ -38,20 +38,20 @@
 @cappa.command(name="list", epilog=LIST_EXAMPLES)
 @dataclass(kw_only=True)
 class TargetListCommand:
-    """List the targets with what the asked host has sent them."""
+    """List targets with the requests that the answering host has sent to them."""
 
     host: HostOption
     json: JsonOption = False
 
     def __call__(self) -> None:
         """Print the targets."""
-        targets = make_client(self.host).get("/targets", TARGETS)
+        targets = make_client(self.host).get("/targets", TARGETS_ADAPTER)
         print_rows(targets, COLUMNS, as_json=self.json)
 
 
 @dataclass(kw_only=True)
-class TargetChange:
-    """Hold the options of the verbs that change a target's state."""
+class TargetChangeCommand:
+    """Define the options of the commands that change a target's state."""
 
     name: Annotated[str, cappa.Arg(help="the target's name")]
     host: HostOption
@@ -60,13 +60,13 @@
     operation: OperationOption = None
 
     @property
-    def file(self) -> str:
-        """Return the name of the file that lets the target leave."""
+    def file_name(self) -> str:
+        """Return the name of the configuration file that takes the target out."""
         return f"90-leave-{self.name}.toml"
 
-    def open_publisher(self) -> Publisher:
-        """Return a publisher that replaces what a file holds."""
-        return open_publisher(
+    def make_publisher(self) -> Publisher:
+        """Return a publisher that replaces a file whatever its content."""
+        return make_publisher(
             host=self.host,
             operation=self.operation,
             base=None,
@@ -77,38 +77,40 @@
 
 @cappa.command(name="leave", epilog=LEAVE_EXAMPLES)
 @dataclass(kw_only=True)
-class TargetLeaveCommand(TargetChange):
-    """Give a target no new work, by publishing one small file."""
+class TargetLeaveCommand(TargetChangeCommand):
+    """Stop new requests to a target by publishing a small file."""
 
     def __call__(self) -> None:
         """Publish the file."""
-        publisher = self.open_publisher()
-        known = {target.name for target in publisher.client.get("/targets", TARGETS)}
+        publisher = self.make_publisher()
+        known = {
+            target.name for target in publisher.client.get("/targets", TARGETS_ADAPTER)
+        }
         if self.name not in known:
             fail(ExitCode.REJECTED, f"no target {self.name}")
         content = f'[targets.{self.name}]\nstate = "leaving"\n'
-        revision = publisher.publish(self.file, content)
+        revision = publisher.publish(self.file_name, content)
         if self.wait_all:
-            wait_for_all(publisher.client, revision)
+            wait_for_all_hosts(publisher.client, revision)
 
 
 @cappa.command(name="return", epilog=RETURN_EXAMPLES)
 @dataclass(kw_only=True)
-class TargetReturnCommand(TargetChange):
-    """Give a target work again, by removing the file that `leave` published."""
+class TargetReturnCommand(TargetChangeCommand):
+    """Send requests to a target again by removing the file that `leave` published."""
 
     def __call__(self) -> None:
         """Remove the file."""
-        publisher = self.open_publisher()
-        revision = publisher.remove(self.file)
+        publisher = self.make_publisher()
+        revision = publisher.remove(self.file_name)
         if self.wait_all:
-            wait_for_all(publisher.client, revision)
+            wait_for_all_hosts(publisher.client, revision)
 
 
 @cappa.command(name="target")
 @dataclass(kw_only=True)
 class TargetCommand:
-    """List targets, and let them leave and return."""
+    """List targets, take them out of service and return them."""
 
     command: cappa.Subcommands[
         TargetListCommand | TargetLeaveCommand | TargetReturnCommand
