--- a/trefoilstage/components/membership/__init__.py
+++ b/trefoilstage/components/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Decide which hosts of the log are live, and announce this one there."""
+"""Detect which hosts are live, and announce this host in the log."""
--- a/trefoilstage/components/membership/controller.py
+++ b/trefoilstage/components/membership/controller.py
@@ -1,4 +1,7 @@
-"""Tell which hosts answer; a hint for speed on which no promise rests."""
+"""Detect which peers reply to heartbeats.
+
+The result only speeds up decisions; no guarantee depends on it.
+"""
 
 import asyncio
 
@@ -23,13 +26,14 @@
 
 N_RECOVERERS = 3
 ANNOUNCE_CHECK_S = 0.02
-# A call and its reply tell both sides of each other, so the second of a pair need
-# not call as well. Below one, or both would wait for the other at each beat.
-FRESH_SHARE = 0.8
+# A heartbeat and its reply show each of two hosts that the other is live, so one of
+# them need not send its own. The share of the interval is below 1; otherwise each
+# host would wait for the other's heartbeat in every interval.
+RECENT_HEARTBEAT_SHARE = 0.8
 
 
 class MembershipController(Service):
-    """Send heartbeats and write each peer's status on the blackboard."""
+    """Send heartbeats and write each peer's status to the blackboard."""
 
     def __init__(
         self,
@@ -57,13 +61,15 @@
         server.register(Heartbeat, self._answer_heartbeat)
 
     async def on_start(self) -> None:
-        """Start the heartbeat."""
+        """Start sending heartbeats."""
         self._unsubscribe = self._timer.subscribe(
-            name="heartbeat", interval_s=self._heartbeat_s, callback=self._beat
+            name="heartbeat",
+            interval_s=self._heartbeat_s,
+            callback=self._send_heartbeats,
         )
 
     async def on_stop(self) -> None:
-        """Stop the heartbeat."""
+        """Stop sending heartbeats."""
         self._unsubscribe()
         for task in list(self._beating.values()):
             task.cancel()
@@ -75,62 +81,64 @@
         )
 
     async def _answer_heartbeat(self, message: Heartbeat) -> PeerMessage:
-        self._note_heard(message)
+        self._record_heartbeat(message)
         return self.make_heartbeat()
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         hosts = self._blackboard.config.hosts
-        large = len(hosts) > MAX_FULL_MESH + 1
-        partners = list_partners(self._blackboard) if large else set()
+        is_large = len(hosts) > MAX_FULL_MESH + 1
+        partners = list_partners(self._blackboard) if is_large else set()
         watched = pick_watched(self._blackboard.host, hosts, partners)
         self._blackboard.watched = frozenset(watched)
-        # Each peer on its own: waiting for a silent one would hold up the
-        # heartbeats to all others for its whole timeout.
+        # Each heartbeat is a separate task: a peer that does not respond would
+        # otherwise delay the heartbeats to all others by its whole timeout.
         for name in sorted(watched - self._beating.keys()):
-            if self._was_just_heard(hosts[name]):
+            if self._was_heard_recently(hosts[name]):
                 continue
-            task = asyncio.create_task(self._beat_peer(hosts[name]), name=name)
+            task = asyncio.create_task(self._send_heartbeat(hosts[name]), name=name)
             self._beating[name] = task
-            task.add_done_callback(self._end_beat)
-        self._forget(set(hosts), watched)
-        self._prune_gone(watched)
-        self._announce_when_gone()
+            task.add_done_callback(self._remove_heartbeat_task)
+        self._remove_unwatched_peers(set(hosts), watched)
+        self._report_lost_hosts(watched)
+        self._announce_if_removed()
 
-    def _was_just_heard(self, entry: HostEntry) -> bool:
-        """Tell whether a peer's own heartbeat makes one to it needless."""
+    def _was_heard_recently(self, entry: HostEntry) -> bool:
+        """Return whether a recent heartbeat from a peer makes one to it unnecessary."""
         status = self._blackboard.peers.get(entry.host)
         if status is None or status.incarnation != entry.incarnation:
             return False
         silent_s = self._timer.now() - status.last_heard
-        return status.reachable and silent_s < self._heartbeat_s * FRESH_SHARE
+        return (
+            status.reachable and silent_s < self._heartbeat_s * RECENT_HEARTBEAT_SHARE
+        )
 
-    def _end_beat(self, task: asyncio.Task[None]) -> None:
+    def _remove_heartbeat_task(self, task: asyncio.Task[None]) -> None:
         self._beating.pop(task.get_name(), None)
 
-    def _forget(self, hosts: set[str], watched: set[str]) -> None:
+    def _remove_unwatched_peers(self, hosts: set[str], watched: set[str]) -> None:
         now = self._timer.now()
         for name, status in list(self._blackboard.peers.items()):
-            stale = now - status.last_heard >= self._suspect_after_s
-            if name not in hosts or (name not in watched and stale):
+            is_stale = now - status.last_heard >= self._suspect_after_s
+            if name not in hosts or (name not in watched and is_stale):
                 del self._blackboard.peers[name]
 
-    def _prune_gone(self, watched: set[str]) -> None:
+    def _report_lost_hosts(self, watched: set[str]) -> None:
         now = self._timer.now()
         for name in sorted(watched):
             entry = self._blackboard.config.hosts[name]
             status = self._blackboard.peers.get(name)
             if status is None or status.reachable or self._is_listed(name):
                 continue
-            # Never heard again, so whoever still looks for it wastes time. A
-            # host that was only cut off announces itself again.
+            # Other hosts lose time as long as they look for a host that has ended.
+            # A host that was only cut off announces itself again.
             if now - status.last_heard < self._forget_after_s:
                 continue
             if self._should_report(entry):
                 self._submit(HostDown(incarnation=entry.incarnation))
 
     def _should_report(self, entry: HostEntry) -> bool:
-        # In a large fleet the first-ranked host is seldom one that watches; the
-        # few that do may all say so, since saying it twice is harmless.
+        # In a large fleet the first-ranked host seldom watches the lost one. Each
+        # of the few hosts that do may report it, since a second report is harmless.
         if len(self._blackboard.config.hosts) > MAX_FULL_MESH + 1:
             return True
         return self._streams.rank_writer(entry.incarnation) == 0
@@ -138,9 +146,9 @@
     def _is_listed(self, name: str) -> bool:
         return name in self._blackboard.listed
 
-    def _announce_when_gone(self) -> None:
-        gone = self._blackboard.host not in self._blackboard.config.hosts
-        if gone and self._blackboard.phase is Phase.SERVING:
+    def _announce_if_removed(self) -> None:
+        is_removed = self._blackboard.host not in self._blackboard.config.hosts
+        if is_removed and self._blackboard.phase is Phase.SERVING:
             self._submit(self._announcement)
 
     def _submit(self, record: HostUp | HostDown | None) -> None:
@@ -149,35 +157,38 @@
             return
         self._ticket = self._streams.submit_config(record)
 
-    async def _beat_peer(self, entry: HostEntry) -> None:
+    async def _send_heartbeat(self, entry: HostEntry) -> None:
         link = self._links.get_link(entry.peer_url)
         try:
             reply = await link.call(
                 self.make_heartbeat(), timeout_s=self._suspect_after_s
             )
         except PeerUnavailableError:
-            self._suspect_when_silent(entry)
+            self._record_missed_heartbeat(entry)
             return
         if isinstance(reply, Heartbeat) and reply.host == entry.host:
-            self._note_heard(reply)
+            self._record_heartbeat(reply)
 
     def set_announcement(self, record: HostUp) -> None:
-        """Announce this host, once it is caught up and whenever it was forgotten."""
+        """Announce this host when it is caught up and whenever the log has removed it.
+
+        The log has removed it when another host reported it as lost.
+        """
         self._announcement = record
         self._unsubscribe_first = self._timer.subscribe(
             name="announcement",
             interval_s=ANNOUNCE_CHECK_S,
-            callback=self._announce_first,
+            callback=self._announce_once_caught_up,
         )
 
-    async def _announce_first(self) -> None:
-        # A log that keeps little drops the checkpoint that this host needs as it takes
-        # the announcement.
+    async def _announce_once_caught_up(self) -> None:
+        # A log with a short retention drops the checkpoint that this host still needs
+        # when the announcement is appended.
         if self._streams.config.status.caught_up and self._announcement is not None:
             self._unsubscribe_first()
             self._streams.submit_config(self._announcement)
 
-    def _note_heard(self, message: Heartbeat) -> None:
+    def _record_heartbeat(self, message: Heartbeat) -> None:
         status = self._blackboard.peers.get(message.host)
         if status is None or status.incarnation != message.incarnation:
             status = PeerStatus(incarnation=message.incarnation, last_heard=0.0)
@@ -187,7 +198,7 @@
         status.reachable = True
         status.last_heard = self._timer.now()
 
-    def _suspect_when_silent(self, entry: HostEntry) -> None:
+    def _record_missed_heartbeat(self, entry: HostEntry) -> None:
         status = self._blackboard.peers.get(entry.host)
         if status is None:
             status = PeerStatus(
@@ -203,20 +214,25 @@
 
 
 def list_partners(blackboard: Blackboard) -> set[str]:
-    """Return the hosts whose draws this one answers for, and the other way round."""
+    """Return the hosts whose status this one has to know because of a draw.
+
+    A draw is a part of a budget that one host, its holder, takes; its witness accounts
+    for it if the holder is lost.
+    """
     own = blackboard.incarnation
-    names = {
+    hosts = {
         entry.incarnation: entry.host for entry in blackboard.config.hosts.values()
     }
     incarnations: set[str] = set()
     for ledger in blackboard.ledgers.values():
         for name, draw in ledger.draws.items():
             if draw.status is not DrawStatus.OPEN:
-                # With its witness gone too, somebody must know that both are.
-                if own in rank_by_rendezvous(name, names)[:N_RECOVERERS]:
+                # The witness may be lost as well; the hosts that rank first for the
+                # draw have to detect that both are.
+                if own in rank_by_rendezvous(name, hosts)[:N_RECOVERERS]:
                     incarnations |= {draw.holder, draw.witness}
             elif draw.holder == own:
                 incarnations.add(draw.witness)
             elif draw.witness == own:
                 incarnations.add(draw.holder)
-    return {names[item] for item in incarnations if item in names}
+    return {hosts[item] for item in incarnations if item in hosts}
--- a/trefoilstage/components/membership/host_list.py
+++ b/trefoilstage/components/membership/host_list.py
@@ -1,4 +1,4 @@
-"""Read the platform's lagging list of hosts; hints only."""
+"""Read the platform's list of hosts, which may be out of date and is only a hint."""
 
 from typing import Annotated
 
@@ -11,13 +11,13 @@
 from trefoilstage.phase import Phase
 from trefoilstage.timer import TimerService
 
-LIST_S = 2.0
-LIST_TIMEOUT_S = 2.0
+HOST_LIST_INTERVAL_S = 2.0
+HOST_LIST_TIMEOUT_S = 2.0
 HTTP_OK = 200
 
 
 class HostListEntry(BaseModel):
-    """Check one host of the platform's list."""
+    """Validate one host of the platform's list."""
 
     host: Annotated[str, Field(max_length=63)]
     peer_url: Annotated[str, Field(max_length=300)]
@@ -25,13 +25,13 @@
 
 
 class HostList(BaseModel):
-    """Check the platform's list."""
+    """Validate the platform's list."""
 
     hosts: list[HostListEntry]
 
 
 class HostListController(Service):
-    """Tell the platform's list of this host and write the list on the blackboard."""
+    """Register this host with the platform and write its list to the blackboard."""
 
     def __init__(
         self,
@@ -51,18 +51,18 @@
         self._failing = False
 
     async def on_start(self) -> None:
-        """Start asking for the list."""
+        """Start requesting the list."""
         self._unsubscribe = self._timer.subscribe(
-            name="host_list", interval_s=LIST_S, callback=self._refresh
+            name="host_list", interval_s=HOST_LIST_INTERVAL_S, callback=self._refresh
         )
         self.add_future(self._refresh())
 
     async def on_stop(self) -> None:
-        """Stop asking for the list."""
+        """Stop requesting the list."""
         self._unsubscribe()
 
     async def _refresh(self) -> None:
-        timeout = aiohttp.ClientTimeout(total=LIST_TIMEOUT_S)
+        timeout = aiohttp.ClientTimeout(total=HOST_LIST_TIMEOUT_S)
         body = {
             "peer_url": self._peer_url,
             "leaving": self._blackboard.phase is Phase.DRAINING,
@@ -77,7 +77,7 @@
             ) as response:
                 listed = HostList.model_validate_json(await response.read())
         except (TimeoutError, aiohttp.ClientError, OSError, ValidationError) as error:
-            self._note_failure(repr(error)[:200])
+            self._record_failure(repr(error)[:200])
             return
         self._failing = False
         self._blackboard.listed = {
@@ -87,7 +87,7 @@
             for entry in listed.hosts
         }
 
-    def _note_failure(self, error: str) -> None:
+    def _record_failure(self, error: str) -> None:
         if not self._failing:
             log_event(Event.HOST_LIST_LOST, error=error)
         self._failing = True
--- a/trefoilstage/components/membership/ring.py
+++ b/trefoilstage/components/membership/ring.py
@@ -1,4 +1,4 @@
-"""Choose which peers a host sends heartbeats to; pure."""
+"""Choose which peers a host sends heartbeats to; pure functions only."""
 
 from collections.abc import Iterable
 
@@ -9,11 +9,11 @@
 
 
 def pick_watched(host: str, names: Iterable[str], partners: Iterable[str]) -> set[str]:
-    """Return the peers to watch: all in a small fleet, else a few and partners.
+    """Return the peers to watch: all in a small fleet, a few and partners in a large.
 
-    Heartbeats to all cost the square of the fleet's size. Each host is watched
-    by about as many others as it watches, and by those that answer for its
-    draws, which are the only ones whose decisions need to know.
+    Heartbeats between all hosts would cost the square of the fleet's size. Each host
+    is watched by about as many others as it watches, and by those that account for
+    its draws, whose decisions are the only ones that depend on its status.
     """
     others = {name for name in names if name != host}
     if len(others) <= MAX_FULL_MESH:
