--- a/tests/components/fleet/test_large_fleet.py
+++ b/tests/components/fleet/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""Test what a fleet of hundreds of hosts costs each of them."""
+"""Test heartbeats in a fleet of hundreds of hosts: their size, number and content."""
 
 import asyncio
 import random
@@ -13,27 +13,27 @@
 from tests.components.escrow.common import ManualTimer
 from trefoilstage.components.fleet.known_hosts import HostRecord
 from trefoilstage.components.fleet.membership import (
-    FAILED_PER_BEAT,
-    PEERS_PER_BEAT,
+    N_FAILED_PER_ROUND,
+    N_PEERS_PER_ROUND,
     FleetMembership,
 )
-from trefoilstage.components.fleet.messages import FLEET_CODEC, HostBeat
+from trefoilstage.components.fleet.messages import FLEET_CODEC, HostHeartbeat
 from trefoilstage.components.peers.frames import Frame
 from trefoilstage.components.views.keyed_view import KeyedRecord
 from trefoilstage.exceptions import MalformedMessageError
 
 N_HOSTS = 200
-# A byte for its age and flags, and as much again for what a later version may add.
+# One byte for the age and flags, and one more for what a later version may add.
 MAX_BYTES_PER_HOST = 2
 
 
 def list_names(n_hosts: int) -> list[str]:
-    """Return the names of a fleet's hosts."""
+    """Return the names of the hosts in a fleet of the given size."""
     return [f"host-{number}" for number in range(n_hosts)]
 
 
-class Host:
-    """Hold the membership of one host that has heard all others just now."""
+class FakeHost:
+    """Run the membership of one host that has just heard all others."""
 
     def __init__(self, name: str, names: Iterable[str]) -> None:
         self.timer = ManualTimer()
@@ -50,14 +50,14 @@
             generator=random.Random(name),
         )
 
-    def make_beat(self) -> HostBeat:
-        """Return what this host would tell a peer now."""
-        return self.membership._make_beat()
+    def make_heartbeat(self) -> HostHeartbeat:
+        """Return the heartbeat that this host sends."""
+        return self.membership._make_heartbeat()
 
-    async def answer(self, beat: HostBeat) -> HostBeat:
-        """Take a peer's beat and return the answer."""
-        await self.membership._take_beat(beat)
-        return self.membership._make_beat(beat)
+    async def receive_heartbeat(self, heartbeat: HostHeartbeat) -> HostHeartbeat:
+        """Apply a peer's heartbeat and return the reply."""
+        await self.membership._apply_heartbeat(heartbeat)
+        return self.membership._make_heartbeat(heartbeat)
 
     def read_record(self, name: str, incarnation: str, offset: int) -> None:
         """Read another host's record from the store."""
@@ -68,9 +68,9 @@
         )
 
 
-def make_beat_of(name: str, incarnation: str, announced_at: int) -> HostBeat:
-    """Return the beat of a host that tells of no others."""
-    return HostBeat(
+def make_heartbeat_of(name: str, incarnation: str, announced_at: int) -> HostHeartbeat:
+    """Return the heartbeat of a host, without states of other hosts."""
+    return HostHeartbeat(
         host=name,
         incarnation=incarnation,
         peer_url=name,
@@ -82,142 +82,149 @@
     )
 
 
-class BeatSizeTest(unittest.TestCase):
-    """Test what a heartbeat carries."""
+class HeartbeatSizeTest(unittest.TestCase):
+    """Test how the size of a heartbeat grows with the fleet."""
 
-    def measure(self, n_hosts: int) -> int:
-        """Return the bytes of a heartbeat in a fleet of some size."""
-        beat = Host("host-0", list_names(n_hosts)).make_beat()
-        return len(FLEET_CODEC.encode(Frame(number=1, reply=False, body=beat)))
+    def get_heartbeat_bytes(self, n_hosts: int) -> int:
+        """Return the size of an encoded heartbeat in a fleet of the given size."""
+        heartbeat = FakeHost("host-0", list_names(n_hosts)).make_heartbeat()
+        return len(FLEET_CODEC.encode(Frame(number=1, reply=False, body=heartbeat)))
 
     def test_each_host_takes_a_byte_or_two_of_a_heartbeat(self) -> None:
-        """Compare heartbeats of 200 and 400 hosts.
+        """Guard against heartbeats that fill the hosts' links.
 
-        Each names all other hosts in effect, eight times a second in and out. By name
-        that filled links of 10 Mbit/s, and reading it took a hundredth of a processor.
+        Each host sends and receives eight heartbeats a second with the states of all
+        other hosts. With states by name, they filled links of 10 Mbit/s, and decoding
+        took a hundredth of a processor. The test compares fleets of 200 and 400 hosts.
         """
-        growth = self.measure(2 * N_HOSTS) - self.measure(N_HOSTS)
+        growth = self.get_heartbeat_bytes(2 * N_HOSTS) - self.get_heartbeat_bytes(
+            N_HOSTS
+        )
         self.assertLessEqual(growth, MAX_BYTES_PER_HOST * N_HOSTS)
 
 
 class OtherVersionsTest(unittest.TestCase):
-    """Test heartbeats of hosts that run another version, and bytes that are none."""
+    """Test heartbeats from hosts that run another version, and malformed ones."""
 
-    def change(self, **fields: object) -> bytes:
-        """Return a heartbeat with some fields changed, or left out for None."""
-        beat = make_beat_of("host-7", "seven-1", 5)
-        frame = Frame(number=1, reply=False, body=beat)
+    def encode_changed_heartbeat(self, **fields: object) -> bytes:
+        """Return an encoded heartbeat with fields changed, or removed if None."""
+        heartbeat = make_heartbeat_of("host-7", "seven-1", 5)
+        frame = Frame(number=1, reply=False, body=heartbeat)
         wire = cbor2.loads(FLEET_CODEC.encode(frame))
         wire["body"].update(fields)
         kept = {key: value for key, value in wire["body"].items() if value is not None}
         return cbor2.dumps({**wire, "body": kept})
 
-    def test_fields_of_a_later_version_are_passed_over(self) -> None:
-        data = self.change(later_field=[1, 2])
+    def test_fields_of_a_later_version_are_ignored(self) -> None:
+        data = self.encode_changed_heartbeat(later_field=[1, 2])
         self.assertEqual(FLEET_CODEC.decode(data).body.host, "host-7")
 
     def test_fields_that_an_earlier_version_lacks_have_defaults(self) -> None:
         fields = ("announced_at", "link_full", "table", "states", "named_states")
-        beat = FLEET_CODEC.decode(self.change(**dict.fromkeys(fields))).body
-        self.assertEqual((beat.announced_at, beat.states), (-1, b""))
+        heartbeat = FLEET_CODEC.decode(
+            self.encode_changed_heartbeat(**dict.fromkeys(fields))
+        ).body
+        self.assertEqual((heartbeat.announced_at, heartbeat.states), (-1, b""))
 
-    def test_states_out_of_bounds_are_refused_by_their_place(self) -> None:
+    def test_error_names_the_field_that_is_out_of_bounds(self) -> None:
         for field, value in (
             ("states", bytes(20_000)),
             ("named_states", {"host-1": 300}),
             ("announced_at", -2),
         ):
             with self.assertRaisesRegex(MalformedMessageError, field):
-                FLEET_CODEC.decode(self.change(**{field: value}))
+                FLEET_CODEC.decode(self.encode_changed_heartbeat(**{field: value}))
 
 
 class GossipTest(unittest.IsolatedAsyncioTestCase):
-    """Test that hosts with other lists of hosts understand each other."""
+    """Test that hosts apply each other's states when their lists of hosts differ."""
 
-    async def test_hosts_with_the_same_list_pass_on_whom_they_heard(self) -> None:
+    async def test_states_from_a_host_with_the_same_list_are_applied(self) -> None:
         names = list_names(N_HOSTS)
-        told, teller = Host("host-0", names), Host("host-1", names)
-        told.timer.time = teller.timer.time = 2.0
-        teller.board.peers["host-9"].last_heard = 1.9
-        teller.board.peers["host-9"].store_in_reach = False
-        await told.answer(teller.make_beat())
-        heard = told.board.peers["host-9"]
-        self.assertAlmostEqual(heard.last_heard, 1.9, delta=0.11)
-        self.assertLessEqual(heard.last_heard, 1.9)
-        self.assertFalse(heard.store_in_reach)
-
-    async def test_host_that_has_not_read_of_a_new_one_understands_the_others(
+        receiver, sender = FakeHost("host-0", names), FakeHost("host-1", names)
+        receiver.timer.time = sender.timer.time = 2.0
+        sender.board.peers["host-9"].last_heard = 1.9
+        sender.board.peers["host-9"].store_in_reach = False
+        await receiver.receive_heartbeat(sender.make_heartbeat())
+        peer = receiver.board.peers["host-9"]
+        self.assertAlmostEqual(peer.last_heard, 1.9, delta=0.11)
+        self.assertLessEqual(peer.last_heard, 1.9)
+        self.assertFalse(peer.store_in_reach)
+
+    async def test_states_are_applied_when_one_host_knows_a_new_one_first(
         self,
     ) -> None:
-        """Let one host read of a new host before the other does."""
+        """Exchange heartbeats when only one side has read a new host's record."""
         names = list_names(N_HOSTS)
-        behind, ahead = Host("host-0", names), Host("host-1", names)
-        ahead.make_beat()
+        behind, ahead = FakeHost("host-0", names), FakeHost("host-1", names)
+        ahead.make_heartbeat()
         ahead.read_record("host-new", "new-1", 900)
         behind.timer.time = ahead.timer.time = 2.0
         for host, other in ((behind, ahead), (ahead, behind)):
             other.board.peers["host-9"].last_heard = 1.0
             host.board.peers["host-9"].last_heard = 0.0
-            # The other one's call, or its answer to this one's, tells of the host.
-            answer = await other.answer(host.make_beat())
-            await host.answer(answer)
-            await host.answer(other.make_beat())
+            # The states come with the other host's call or with its reply to a call.
+            answer = await other.receive_heartbeat(host.make_heartbeat())
+            await host.receive_heartbeat(answer)
+            await host.receive_heartbeat(other.make_heartbeat())
             self.assertGreater(host.board.peers["host-9"].last_heard, 0.8)
 
-    async def test_table_of_another_length_is_passed_over(self) -> None:
-        """Take a beat whose bytes don't fit the list that it names."""
+    async def test_states_of_another_length_than_the_table_are_ignored(self) -> None:
+        """Apply a heartbeat with one byte fewer than its table has hosts."""
         names = list_names(N_HOSTS)
-        host, other = Host("host-0", names), Host("host-1", names)
-        host.make_beat()
+        host, other = FakeHost("host-0", names), FakeHost("host-1", names)
+        host.make_heartbeat()
         host.timer.time = other.timer.time = 2.0
         other.board.peers["host-9"].last_heard = 1.9
-        beat = other.make_beat()
-        await host.answer(replace(beat, states=beat.states[:-1]))
+        heartbeat = other.make_heartbeat()
+        await host.receive_heartbeat(replace(heartbeat, states=heartbeat.states[:-1]))
         self.assertEqual(host.board.peers["host-9"].last_heard, 0.0)
         self.assertEqual(host.board.peers["host-1"].last_heard, 2.0)
 
 
 class RestartTest(unittest.IsolatedAsyncioTestCase):
-    """Test how a large fleet hears that a host runs a new incarnation."""
+    """Test how hosts of a large fleet learn of a restarted host's new incarnation."""
 
-    async def start(self) -> Host:
-        """Return a host that has heard a peer that announced itself at offset 5."""
-        host = Host("host-0", list_names(N_HOSTS))
-        await host.answer(make_beat_of("host-7", "seven-1", 5))
+    async def make_host(self) -> FakeHost:
+        """Return a host that has heard a peer whose record has offset 5."""
+        host = FakeHost("host-0", list_names(N_HOSTS))
+        await host.receive_heartbeat(make_heartbeat_of("host-7", "seven-1", 5))
         return host
 
     async def test_later_record_replaces_an_incarnation_that_was_heard(self) -> None:
-        """Restart a host of a fleet of 200 and read its new record.
+        """Guard against a restarted host that gets no tokens in a fleet of 200.
 
-        Homes grant tokens to the incarnations that they know. A home that went by
-        what it had heard refused the restarted host's requests until one of the two
-        called the other by lot, after 24 s in the mean.
+        Homes grant tokens to the incarnations that they know. A home that relied on
+        heartbeats only refused the restarted host's requests until one of the two
+        happened to call the other, after 24 s on average.
         """
-        host = await self.start()
+        host = await self.make_host()
         host.read_record("host-7", "seven-2", 9)
         self.assertEqual(host.board.peers["host-7"].incarnation, "seven-2")
 
     async def test_earlier_record_replaces_nothing(self) -> None:
-        """Read a store that answers from an old state."""
-        host = await self.start()
+        """Guard against a store that returns an outdated record."""
+        host = await self.make_host()
         host.read_record("host-7", "seven-0", 3)
         self.assertEqual(host.board.peers["host-7"].incarnation, "seven-1")
 
-    async def test_late_call_of_an_ended_incarnation_is_passed_over(self) -> None:
-        host = await self.start()
+    async def test_late_call_of_an_ended_incarnation_is_ignored(self) -> None:
+        host = await self.make_host()
         host.read_record("host-7", "seven-2", 9)
-        await host.answer(make_beat_of("host-7", "seven-1", 5))
+        await host.receive_heartbeat(make_heartbeat_of("host-7", "seven-1", 5))
         self.assertEqual(host.board.peers["host-7"].incarnation, "seven-2")
 
-    async def test_host_that_is_asked_for_is_called_at_once(self) -> None:
-        """Ask for the incarnation of a host whose tokens are to be recovered.
+    async def test_host_to_confirm_is_called_immediately(self) -> None:
+        """Guard against tokens that stay missing from a budget after a restart.
 
-        Called by lot only, it was confirmed half a minute later, and what its
-        predecessor had drawn was missing in the budget until then.
+        Tokens drawn by the previous incarnation are recovered when the host confirms
+        its new one. With calls by random choice only, this took half a minute.
         """
-        host = await self.start()
+        host = await self.make_host()
         link = host.links.get_link.return_value
-        link.call = mock.AsyncMock(return_value=make_beat_of("host-7", "seven-2", 9))
+        link.call = mock.AsyncMock(
+            return_value=make_heartbeat_of("host-7", "seven-2", 9)
+        )
         host.membership.confirm("host-7")
         host.membership.confirm("host-7")
         futures = host.membership._futures  # type: ignore[attr-defined]
@@ -227,49 +234,50 @@
 
 
 class FailedPeerTest(unittest.TestCase):
-    """Test how soon a host is used again that left a call unanswered."""
+    """Test how soon a host that did not reply to a call is used again."""
 
-    def test_failed_peer_is_called_in_the_next_beat(self) -> None:
-        """Let a home leave a hold unanswered, for a stall of a second.
+    def test_failed_peer_is_called_in_the_next_round(self) -> None:
+        """Guard against a home that stays out of use after a stall of a second.
 
-        It gets no calls until it was heard directly. Called by lot, two of 200 a beat,
-        it was out of use for half a minute, and others drew in its place.
+        A home that did not reply to a hold gets only heartbeats until it is heard
+        directly. With these sent by random choice, to two of 200 hosts per round, it
+        was out of use for half a minute, and other hosts drew tokens in its place.
         """
-        host = Host("host-0", list_names(N_HOSTS))
+        host = FakeHost("host-0", list_names(N_HOSTS))
         host.board.peers["host-9"].failed = True
-        called = [peer.host for peer in host.membership.pick_called()]
+        called = [peer.host for peer in host.membership.pick_peers_to_call()]
         self.assertIn("host-9", called)
 
-    def test_host_that_has_ended_is_not_called_again_and_again(self) -> None:
-        """Lose hosts for good; they are called by lot, as all others are."""
-        host = Host("host-0", list_names(N_HOSTS))
+    def test_ended_hosts_get_no_additional_calls(self) -> None:
+        """Lose hosts permanently; they are called by random choice like all others."""
+        host = FakeHost("host-0", list_names(N_HOSTS))
         host.timer.time = 60.0
         for number in range(1, 100):
             host.board.peers[f"host-{number}"].failed = True
-        self.assertEqual(len(host.membership.pick_called()), PEERS_PER_BEAT)
+        self.assertEqual(len(host.membership.pick_peers_to_call()), N_PEERS_PER_ROUND)
 
     def test_calls_stay_few_when_many_peers_fail(self) -> None:
-        host = Host("host-0", list_names(N_HOSTS))
+        host = FakeHost("host-0", list_names(N_HOSTS))
         for peer in host.board.peers.values():
             peer.failed = True
-        called = host.membership.pick_called()
-        self.assertEqual(len(called), PEERS_PER_BEAT + FAILED_PER_BEAT)
+        called = host.membership.pick_peers_to_call()
+        self.assertEqual(len(called), N_PEERS_PER_ROUND + N_FAILED_PER_ROUND)
 
 
 class StartOfAllTest(unittest.IsolatedAsyncioTestCase):
-    """Test a start of the whole fleet."""
+    """Test the start of all hosts of a fleet together."""
 
-    async def test_records_of_new_hosts_are_no_reason_for_a_beat_each(self) -> None:
-        """Read 200 records of starting hosts, one by one.
+    async def test_records_of_new_hosts_share_one_round_of_heartbeats(self) -> None:
+        """Guard against heartbeats for each of 200 records of starting hosts.
 
-        With beats at each record a start of n hosts took n times n calls, and hosts
-        of half a processor were busy with them while callers waited.
+        The start of n hosts took n * n calls, and hosts with half a processor were
+        busy with them while callers waited.
         """
-        host = Host("host-0", list_names(N_HOSTS))
+        host = FakeHost("host-0", list_names(N_HOSTS))
         with mock.patch.object(host.membership, "add_future") as add_future:
             for number in range(N_HOSTS):
                 host.read_record(f"host-{number}", f"{number}-2", 900 + number)
-        self.assertLessEqual(add_future.call_count, PEERS_PER_BEAT)
+        self.assertLessEqual(add_future.call_count, N_PEERS_PER_ROUND)
         for call in add_future.call_args_list:
             call.args[0].close()
 
--- a/tests/components/fleet/test_membership.py
+++ b/tests/components/fleet/test_membership.py
@@ -1,4 +1,4 @@
-"""Test how hosts hear of each other in a large fleet."""
+"""Test how hosts of a large fleet learn which others are live."""
 
 import random
 import unittest
@@ -6,27 +6,27 @@
 
 from tests.components.boards import make_board
 from tests.components.escrow.common import ManualTimer
-from trefoilstage.components.fleet.known_hosts import SILENT_LARGE_S
+from trefoilstage.components.fleet.known_hosts import LOST_AFTER_LARGE_FLEET_S
 from trefoilstage.components.fleet.membership import (
-    BEAT_S,
-    PEERS_PER_BEAT,
+    HEARTBEAT_INTERVAL_S,
+    N_PEERS_PER_ROUND,
     FleetMembership,
 )
-from trefoilstage.components.fleet.messages import HostBeat
+from trefoilstage.components.fleet.messages import HostHeartbeat
 
 N_HOSTS = 66
 
 
-class Fleet:
-    """Hold hosts that call each other without a network."""
+class FakeFleet:
+    """Connect the memberships of hosts without a network."""
 
     def __init__(self) -> None:
         self.timer = ManualTimer()
         self.names = [f"host-{number}" for number in range(N_HOSTS)]
-        self.hosts = {name: self.make(name) for name in self.names}
+        self.hosts = {name: self.make_membership(name) for name in self.names}
         self.down: set[str] = set()
 
-    def make(self, name: str) -> FleetMembership:
+    def make_membership(self, name: str) -> FleetMembership:
         """Return the membership of one host."""
         return FleetMembership(
             board=make_board(name, self.names),
@@ -39,55 +39,59 @@
             generator=random.Random(name),
         )
 
-    async def beat(self) -> None:
-        """Let each host that runs call a few others."""
-        self.timer.time += BEAT_S
+    async def send_heartbeats(self) -> None:
+        """Let each running host call its peers of one round."""
+        self.timer.time += HEARTBEAT_INTERVAL_S
         for name in self.names:
             if name in self.down:
                 continue
             host = self.hosts[name]
-            for peer in host.pick_called():
+            for peer in host.pick_peers_to_call():
                 if peer.host not in self.down:
-                    await self.exchange(host, self.hosts[peer.host])
+                    await self.exchange_heartbeats(host, self.hosts[peer.host])
 
-    async def exchange(self, caller: FleetMembership, called: FleetMembership) -> None:
+    async def exchange_heartbeats(
+        self, caller: FleetMembership, called: FleetMembership
+    ) -> None:
         """Exchange heartbeats between two hosts."""
-        beat: HostBeat = caller._make_beat()
-        reply = called._make_beat()
-        await called._take_beat(beat)
-        await caller._take_beat(reply)
+        heartbeat: HostHeartbeat = caller._make_heartbeat()
+        reply = called._make_heartbeat()
+        await called._apply_heartbeat(heartbeat)
+        await caller._apply_heartbeat(reply)
 
 
 class LargeFleetTest(unittest.IsolatedAsyncioTestCase):
-    """Test a fleet in which each host calls two others a beat."""
+    """Test a fleet in which each host calls two others per heartbeat round."""
 
     async def test_all_hosts_agree_on_who_is_live(self) -> None:
-        """Beat for a minute; each host takes all others for live all the time.
+        """Guard against live hosts that count as lost for a time.
 
-        Were some taken for silent in turn, the homes of accounts would move, and
-        each move draws and gives back a stock.
+        The homes of accounts would move each time, and each move draws and returns a
+        stock of tokens. The rounds cover a minute.
         """
-        fleet = Fleet()
+        fleet = FakeFleet()
         for _ in range(120):
-            await fleet.beat()
+            await fleet.send_heartbeats()
             for host in fleet.hosts.values():
                 self.assertEqual(len(host.list_live()), N_HOSTS)
 
     async def test_lost_host_is_noticed_everywhere(self) -> None:
-        """Kill a host; nobody keeps it live by passing on what was heard long ago."""
-        fleet = Fleet()
+        """Guard against a lost host kept live by outdated states that peers pass on."""
+        fleet = FakeFleet()
         for _ in range(6):
-            await fleet.beat()
+            await fleet.send_heartbeats()
         fleet.down = {"host-7"}
-        for _ in range(int(SILENT_LARGE_S / BEAT_S) + 3):
-            await fleet.beat()
+        for _ in range(int(LOST_AFTER_LARGE_FLEET_S / HEARTBEAT_INTERVAL_S) + 3):
+            await fleet.send_heartbeats()
         for name, host in fleet.hosts.items():
             if name != "host-7":
                 self.assertNotIn("host-7", host.list_live())
 
     def test_calls_do_not_grow_with_the_fleet(self) -> None:
-        fleet = Fleet()
-        self.assertEqual(len(fleet.hosts["host-0"].pick_called()), PEERS_PER_BEAT)
+        fleet = FakeFleet()
+        self.assertEqual(
+            len(fleet.hosts["host-0"].pick_peers_to_call()), N_PEERS_PER_ROUND
+        )
 
 
 if __name__ == "__main__":
--- a/tests/components/fleet/test_watcher.py
+++ b/tests/components/fleet/test_watcher.py
@@ -1,4 +1,4 @@
-"""Test what hosts conclude from records that others passed on."""
+"""Test how a host applies records that a peer relays, and how often it reads."""
 
 import unittest
 from unittest import mock
@@ -15,8 +15,8 @@
 SERVICE = "model"
 
 
-def decode(name: str, data: bytes) -> TargetEntry:
-    """Return the entry of a target that is ready or leaves."""
+def decode_target(name: str, data: bytes) -> TargetEntry:
+    """Return the entry of a target in the encoded phase."""
     return TargetEntry(
         name=name,
         service=SERVICE,
@@ -29,16 +29,16 @@
 
 
 class LapsedEntriesTest(unittest.TestCase):
-    """Test the end of an outage in which all targets' entries lapsed."""
+    """Test the end of a store outage in which all targets' entries expired."""
 
-    def start(self, phase: TargetPhase) -> tuple[FleetBoard, BoardWatcher]:
-        """Return a host that knows a target and is cut from the store."""
+    def start_in_outage(self, phase: TargetPhase) -> tuple[FleetBoard, BoardWatcher]:
+        """Return the board and watcher of a host that knows a target, in an outage."""
         board = make_board("host-0", ["host-1"])
         watcher = BoardWatcher(
             board=board,
             configuration_key="config",
             decode_configuration=mock.Mock(),
-            decode_target=decode,
+            decode_target=decode_target,
         )
         entry = KeyedRecord(key="i-1", offset=3, value=phase.value.encode())
         watcher.take(Topic.TARGETS, [entry], now=10.0)
@@ -46,32 +46,33 @@
         return board, watcher
 
     def list_ready(self, board: FleetBoard, now: float) -> list[str]:
-        """Return the targets that get new work."""
+        """Return the names of the targets that get new work."""
         return [entry.name for entry in board.targets.list_ready(SERVICE, now)]
 
-    def test_entries_that_a_peer_says_lapsed_are_used_until_targets_are_back(
+    def test_targets_whose_entries_expired_are_used_until_they_register_again(
         self,
     ) -> None:
-        """Hear of lapsed entries from a peer before this host reaches the store.
+        """Guard against requests refused for entries that expired in an outage.
 
-        The peer's call to the store came first after an outage. The host dropped all
-        targets and refused every request until they had registered again, 2 s later.
+        A peer that reached the store first relays the expiry to this host. The host
+        dropped all targets and refused every request until they registered again 2 s
+        later.
         """
-        board, watcher = self.start(TargetPhase.READY)
+        board, watcher = self.start_in_outage(TargetPhase.READY)
         dropped = KeyedRecord(key="i-1", offset=9, value=None)
         watcher.take(Topic.TARGETS, [dropped], now=20.0)
         self.assertEqual(self.list_ready(board, 21.0), ["i-1"])
         self.assertEqual(self.list_ready(board, 23.0), [])
 
-    def test_leaving_target_that_is_gone_is_not_used(self) -> None:
-        board, watcher = self.start(TargetPhase.DRAINING)
+    def test_draining_target_with_an_expired_entry_is_not_used(self) -> None:
+        board, watcher = self.start_in_outage(TargetPhase.DRAINING)
         dropped = KeyedRecord(key="i-1", offset=9, value=None)
         watcher.take(Topic.TARGETS, [dropped], now=20.0)
         self.assertEqual(self.list_ready(board, 20.0), [])
 
 
 class PauseTest(unittest.TestCase):
-    """Test how often topics are read."""
+    """Test how often a host reads each topic of the store."""
 
     def get_pause(self, topic: Topic, n_hosts: int, drain_s: float) -> float:
         """Return the seconds between two reads of a topic."""
@@ -89,15 +90,16 @@
         followers = make_followers(settings, board, mock.Mock(), mock.Mock())
         return followers[topic]._get_pause()
 
-    def test_leaving_target_is_read_of_well_within_its_time(self) -> None:
+    def test_targets_are_read_several_times_within_the_drain_time(self) -> None:
         self.assertEqual(self.get_pause(Topic.TARGETS, 7, 2.0), 0.4)
         self.assertEqual(self.get_pause(Topic.TARGETS, 195, 4.0), 0.8)
 
     def test_start_of_a_large_fleet_is_read_in_batches(self) -> None:
-        """Start 195 hosts at once, each of which writes a record.
+        """Guard against a read of each host's record as soon as it is written.
 
-        Waiting reads that return for each record make 38,000 calls, more than twice
-        what the store answers in a second.
+        When 195 hosts start together and each writes a record, long polls that return
+        after one record add up to 38,000 calls, more than twice what the store serves
+        in a second.
         """
         self.assertEqual(self.get_pause(Topic.HOSTS, 195, 4.0), LARGE_PAUSE_S)
         self.assertEqual(self.get_pause(Topic.HOSTS, 7, 2.0), 0.0)
--- a/trefoilstage/components/fleet/__init__.py
+++ b/trefoilstage/components/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Know which hosts are live."""
+"""Track the other hosts of a forwarding fleet, and serve a host's metrics."""
--- a/trefoilstage/components/fleet/gossip.py
+++ b/trefoilstage/components/fleet/gossip.py
@@ -1,8 +1,8 @@
-"""Tell in one byte a host when each host of a fleet was heard; pure.
+"""Encode in one byte per host when each host of a fleet was heard; no I/O.
 
-Load: in a fleet of hundreds each heartbeat passes on when every host was heard, four
-calls and four answers a second at each host. Both sides know the same names, so a
-digest of the names stands for them.
+The byte saves load: in a fleet of hundreds of hosts each heartbeat passes on when every
+host was heard, in four calls and four replies per second at each host. Sender and
+receiver know the same names, so heartbeats carry a digest of the names instead.
 """
 
 from collections import OrderedDict
@@ -13,55 +13,57 @@
 
 from trefoilstage.fleet_board import PeerState
 
-# One byte: an age in six bits, and two flags.
+# A byte has the time since a host was heard, in units of AGE_UNIT_S, in six bits, and
+# two flags.
 AGE_UNIT_S = 0.05
-UNHEARD = 63
+AGE_UNKNOWN = 63
 AGE_MASK = 63
 SERVING_FLAG = 64
-STORE_FLAG = 128
-MAX_AGE_S = (UNHEARD - 1) * AGE_UNIT_S
-# By byte; a host that was not heard of late is heard by no comparison.
+STORE_IN_REACH_FLAG = 128
+MAX_AGE_S = (AGE_UNKNOWN - 1) * AGE_UNIT_S
+# The age in seconds for each value of the byte. An infinite age, for a host that was
+# not heard recently, never counts as newer than what the receiver knows.
 AGES_S = tuple(
-    float("inf") if state & AGE_MASK == UNHEARD else (state & AGE_MASK) * AGE_UNIT_S
+    float("inf") if state & AGE_MASK == AGE_UNKNOWN else (state & AGE_MASK) * AGE_UNIT_S
     for state in range(256)
 )
-# While hosts come and go, a peer may be some changes of the names behind.
+# While hosts are added and removed, a peer's list of names may be some changes behind.
 MAX_TABLES = 16
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HostTable:
-    """List hosts in the order in which heartbeats tell of them."""
+    """Give the order in which heartbeats encode the hosts."""
 
     digest: bytes = b""
     names: tuple[str, ...] = ()
 
 
 @dataclass(kw_only=True, slots=True)
-class HostTables:
-    """Keep this host's table and those it had before.
+class HostTableHistory:
+    """Store this host's current table and its previous ones.
 
-    A peer that has not read of a change yet goes by the table before it.
+    A peer that has not read the latest change yet still uses a previous table.
     """
 
     current: HostTable = field(default_factory=HostTable)
-    known: OrderedDict[bytes, HostTable] = field(default_factory=OrderedDict)
+    tables_by_digest: OrderedDict[bytes, HostTable] = field(default_factory=OrderedDict)
 
     def set_hosts(self, names: Iterable[str]) -> None:
-        """Take in which hosts there are."""
+        """Replace the current table by one of the given hosts."""
         self.current = make_table(names)
-        self.known[self.current.digest] = self.current
-        self.known.move_to_end(self.current.digest)
-        while len(self.known) > MAX_TABLES:
-            self.known.popitem(last=False)
+        self.tables_by_digest[self.current.digest] = self.current
+        self.tables_by_digest.move_to_end(self.current.digest)
+        while len(self.tables_by_digest) > MAX_TABLES:
+            self.tables_by_digest.popitem(last=False)
 
     def find(self, digest: bytes) -> HostTable | None:
-        """Return the table of a digest, None if this host never had it."""
-        return self.known.get(digest)
+        """Return the table of a digest, None if this host doesn't have it."""
+        return self.tables_by_digest.get(digest)
 
 
 def make_table(names: Iterable[str]) -> HostTable:
-    """Return the table of some hosts, the same at each host that knows them."""
+    """Return the table of the given hosts; each host that knows them gets the same."""
     ordered = tuple(sorted(names))
     hasher = xxhash.xxh3_64()
     for name in ordered:
@@ -69,34 +71,34 @@
     return HostTable(digest=hasher.digest(), names=ordered)
 
 
-def encode_peer(peer: PeerState | None, now: float) -> int:
-    """Return the byte of a host.
+def encode_peer_state(peer: PeerState | None, now: float) -> int:
+    """Return the byte for a host.
 
-    Ages are rounded up: rounded down at each host that passes them on, a lost host
-    would be kept live a little longer.
+    Ages are rounded up. Rounding down at each host that passes them on would keep a
+    lost host live for longer.
     """
     if peer is None or now - peer.last_heard >= MAX_AGE_S:
-        return UNHEARD
+        return AGE_UNKNOWN
     state = int((now - peer.last_heard) / AGE_UNIT_S) + 1
     if peer.serving:
         state |= SERVING_FLAG
     if peer.store_in_reach:
-        state |= STORE_FLAG
+        state |= STORE_IN_REACH_FLAG
     return state
 
 
-def take_states(
-    states: Iterable[tuple[PeerState | None, int]], now: float, silent_s: float
+def merge_states(
+    states: Iterable[tuple[PeerState | None, int]], now: float, lost_after_s: float
 ) -> bool:
-    """Take in what is newer than what is known; tell whether live hosts changed."""
+    """Apply newer states to the known peers; return whether the live hosts changed."""
     changed = False
     for peer, state in states:
-        at = now - AGES_S[state]
-        if peer is None or at <= peer.last_heard:
+        heard_at = now - AGES_S[state]
+        if peer is None or heard_at <= peer.last_heard:
             continue
         serving = bool(state & SERVING_FLAG)
-        changed |= peer.serving is not serving or now - peer.last_heard > silent_s
-        peer.last_heard = at
+        changed |= peer.serving is not serving or now - peer.last_heard > lost_after_s
+        peer.last_heard = heard_at
         peer.serving = serving
-        peer.store_in_reach = bool(state & STORE_FLAG)
+        peer.store_in_reach = bool(state & STORE_IN_REACH_FLAG)
     return changed
--- a/trefoilstage/components/fleet/membership.py
+++ b/trefoilstage/components/fleet/membership.py
@@ -1,4 +1,4 @@
-"""Know the other hosts, hear from them, and share what each has read."""
+"""Exchange heartbeats with the other hosts of a fleet, and records of the store."""
 
 import asyncio
 import random
@@ -10,7 +10,7 @@
 from trefoilstage.components.escrow.messages import SealHome, SealReply
 from trefoilstage.components.fleet.known_hosts import HostRecord, KnownHosts
 from trefoilstage.components.fleet.messages import (
-    HostBeat,
+    HostHeartbeat,
     ReadView,
     ViewReply,
 )
@@ -25,23 +25,25 @@
 from trefoilstage.phase import Phase
 from trefoilstage.timer import TimerService
 
-BEAT_S = 0.5
-BEAT_TIMEOUT_S = 0.9
-ANNOUNCE_RETRY_S = 0.5
-# Of a large fleet only some hosts are called each beat. Called in turn, each of 66
-# would be heard every 8 s only, and homes of accounts would move all the time; so
-# the heartbeats of a large fleet pass on when each other host was heard.
-PEERS_PER_BEAT = 2
-# A host that left a call unanswered gets none until it was heard directly. Called by
-# lot only, the home of a workspace would stay out of use for half a minute.
-FAILED_PER_BEAT = 4
-# When a large fleet starts, each host reads of hundreds of others within seconds. With
-# beats at each record, the start of all hosts costs the square of their number.
-RECORDS_PAUSE_S = 0.25
+HEARTBEAT_INTERVAL_S = 0.5
+CALL_TIMEOUT_S = 0.9
+ANNOUNCE_RETRY_INTERVAL_S = 0.5
+# In a large fleet each host calls only a few peers per heartbeat round. If it called
+# them in turn, it would hear each of 66 hosts only every 8 s, and the homes of accounts
+# would move all the time. So the heartbeats of a large fleet also carry when each other
+# host was heard.
+N_PEERS_PER_ROUND = 2
+# A host that did not reply to a call gets only heartbeats until it is heard directly.
+# If those reached it by random choice only, the home of a workspace would stay out of
+# use for half a minute.
+N_FAILED_PER_ROUND = 4
+# When a large fleet starts, each host reads the records of hundreds of others within
+# seconds. A heartbeat round for each record would cost the square of the fleet's size.
+RECORDS_HEARTBEAT_DELAY_S = 0.25
 
 
 class FleetMembership(Service):
-    """Announce this host, watch the others and relay what the store said."""
+    """Announce this host, watch its peers and relay records of the store to them."""
 
     def __init__(
         self,
@@ -65,71 +67,73 @@
         self._address = address
         self._generator = generator
         self._announced_at = -1
-        self._hosts = KnownHosts(board=board)
-        self._beat_is_due = False
-        self._calls: set[str] = set()  # peers that are asked how they stand
-        server.register(HostBeat, self._answer_beat)
+        self._known_hosts = KnownHosts(board=board)
+        self._heartbeats_are_scheduled = False
+        self._confirming: set[str] = set()  # hosts whose incarnation is being asked for
+        server.register(HostHeartbeat, self._answer_heartbeat)
         server.register(ReadView, self._answer_view)
 
     @property
     def peer_url(self) -> str:
-        """Return where peers reach this host."""
+        """Return the address at which peers reach this host."""
         return f"ws://{self._address}:{self._server.port}"
 
     async def on_start(self) -> None:
-        """Announce this host and start to beat."""
+        """Announce this host and start sending heartbeats."""
         self._unsubscribe = self._timer.subscribe(
-            name="beats", interval_s=BEAT_S, callback=self._beat
+            name="beats",
+            interval_s=HEARTBEAT_INTERVAL_S,
+            callback=self._send_heartbeats,
         )
         self.add_future(self._announce())
 
     async def on_stop(self) -> None:
-        """Stop beating."""
+        """Stop sending heartbeats."""
         self._unsubscribe()
 
     def take_records(self, records: list[KeyedRecord]) -> None:
-        """Take in hosts' records of the store."""
+        """Apply hosts' records from the store."""
         for record in records:
             if record.key == self._board.host:
                 continue
             if record.value is None:
-                self._hosts.forget(record.key)
+                self._known_hosts.remove_host(record.key)
                 continue
             try:
-                wire = HostRecord.model_validate_json(record.value)
+                host_record = HostRecord.model_validate_json(record.value)
             except ValidationError:
                 log_event(Event.RECORD_MALFORMED, topic=Topic.HOSTS, key=record.key)
                 continue
-            self._hosts.take_record(record.key, wire, record.offset)
+            self._known_hosts.apply_record(record.key, host_record, record.offset)
         if not self._board.is_large():
             self.beat_soon()
-        elif not self._beat_is_due:
-            self._beat_is_due = True
-            self.add_future(self._beat_later())
+        elif not self._heartbeats_are_scheduled:
+            self._heartbeats_are_scheduled = True
+            self.add_future(self._send_heartbeats_later())
 
-    async def _beat_later(self) -> None:
-        await asyncio.sleep(RECORDS_PAUSE_S)
-        self._beat_is_due = False
-        await self._beat()
+    async def _send_heartbeats_later(self) -> None:
+        await asyncio.sleep(RECORDS_HEARTBEAT_DELAY_S)
+        self._heartbeats_are_scheduled = False
+        await self._send_heartbeats()
 
     def list_live(self) -> tuple[str, ...]:
-        """Return the hosts that answer and serve, this one among them."""
-        return self._hosts.list_live(self._timer.now())
+        """Return the names of the live hosts that serve, this one included."""
+        return self._known_hosts.list_live(self._timer.now())
 
     def count_hosts(self) -> int:
-        """Return how many hosts share the fleet's limits."""
+        """Return the number of hosts in the fleet, which share its limits."""
         return len(self._board.peers) + 1
 
     def has_met_all(self) -> bool:
-        """Tell whether every host that the store names was heard."""
-        return self._hosts.has_met_all()
+        """Return whether every host that the store lists was heard."""
+        return self._known_hosts.has_met_all()
 
     def beat_soon(self) -> None:
-        """Tell the peers at once how this host stands."""
-        self.add_future(self._beat())
+        """Send a round of heartbeats immediately, outside the usual interval."""
+        self.add_future(self._send_heartbeats())
 
     def set_seal_handler(self, seal: Callable[[SealHome], SealReply]) -> None:
-        """Answer peers that ask what an ended home granted to this host."""
+        """Register the handler for peers that ask what an ended home granted here."""
 
         async def answer(message: SealHome) -> SealReply:
             return seal(message)
@@ -137,42 +141,43 @@
         self._server.register(SealHome, answer)
 
     async def ask_seal(self, host: str, message: SealHome) -> SealReply | None:
-        """Ask a host about an ended home; return None if it does not answer."""
+        """Ask a host what an ended home granted to it; return None without a reply."""
         peer = self._board.peers.get(host)
         if peer is None:
             return None
         try:
             link = self._links.get_link(peer.peer_url)
-            reply = await link.call(message, timeout_s=BEAT_TIMEOUT_S)
+            reply = await link.call(message, timeout_s=CALL_TIMEOUT_S)
         except PeerUnavailableError:
             return None
         return reply if isinstance(reply, SealReply) else None
 
     def confirm(self, host: str) -> None:
-        """Ask a host of a large fleet which incarnation it runs, outside the beats.
+        """Ask a host of a large fleet immediately which incarnation it runs.
 
-        Called by lot, a host that started again would stay unconfirmed for half a
-        minute, and what its predecessor had drawn be missing for as long.
+        If heartbeats reached it by random choice only, a restarted host would stay
+        unconfirmed for half a minute, and the tokens that its previous incarnation had
+        drawn would be missing from the budget for as long.
         """
         peer = self._board.peers.get(host)
-        if peer is None or host in self._calls or not self._board.is_large():
+        if peer is None or host in self._confirming or not self._board.is_large():
             return
-        self._calls.add(host)
+        self._confirming.add(host)
         self.add_future(self._confirm_peer(peer))
 
     async def _confirm_peer(self, peer: PeerState) -> None:
         try:
-            await self._beat_peer(peer)
+            await self._send_heartbeat(peer)
         finally:
-            self._calls.discard(peer.host)
+            self._confirming.discard(peer.host)
 
     async def withdraw(self) -> None:
-        """Take this host's record out of the store."""
+        """Delete this host's record from the store."""
         try:
             await self._store.put(Topic.HOSTS, self._board.host, None)
         except StoreUnavailableError as error:
-            # A successor overwrites the record, and a host that is silent gets
-            # no work, so a stale record costs a heartbeat only.
+            # The next incarnation overwrites the record, and a host that does not
+            # respond gets no work, so a stale record costs only heartbeats.
             log_event(Event.STORE_WRITE_FAILED, topic=Topic.HOSTS, error=str(error))
 
     async def _announce(self) -> None:
@@ -189,48 +194,48 @@
                 self._announced_at = -1 if offset is None else offset
                 return
             except StoreUnavailableError:
-                await asyncio.sleep(ANNOUNCE_RETRY_S)
+                await asyncio.sleep(ANNOUNCE_RETRY_INTERVAL_S)
 
-    async def _beat(self) -> None:
-        for peer in self.pick_called():
-            self.add_future(self._beat_peer(peer))
+    async def _send_heartbeats(self) -> None:
+        for peer in self.pick_peers_to_call():
+            self.add_future(self._send_heartbeat(peer))
 
-    def pick_called(self) -> list[PeerState]:
-        """Return the peers to call in this beat: all, or a few of a large fleet."""
+    def pick_peers_to_call(self) -> list[PeerState]:
+        """Return the peers to call in this round: all, or a few of a large fleet."""
         peers = list(self._board.peers.values())
         if not self._board.is_large():
             return peers
-        called = self._generator.sample(peers, PEERS_PER_BEAT)
-        # Others have heard of them since; of a host that has ended nobody does.
+        called = self._generator.sample(peers, N_PEERS_PER_ROUND)
+        # Other peers have heard these hosts recently; no peer hears an ended host.
         now = self._timer.now()
         failed = [
             peer
             for peer in peers
             if peer.failed
-            and now - peer.last_heard <= self._hosts.silent_s
+            and now - peer.last_heard <= self._known_hosts.lost_after_s
             and peer not in called
         ]
-        n_failed = min(FAILED_PER_BEAT, len(failed))
+        n_failed = min(N_FAILED_PER_ROUND, len(failed))
         return called + self._generator.sample(failed, n_failed)
 
-    async def _beat_peer(self, peer: PeerState) -> None:
+    async def _send_heartbeat(self, peer: PeerState) -> None:
         link = self._links.get_link(peer.peer_url)
         started = self._timer.now()
         try:
-            reply = await link.call(self._make_beat(), timeout_s=BEAT_TIMEOUT_S)
+            reply = await link.call(self._make_heartbeat(), timeout_s=CALL_TIMEOUT_S)
         except PeerUnavailableError:
             return
-        if isinstance(reply, HostBeat):
-            await self._take_beat(reply)
-            self._hosts.note_confirmed(reply, started)
+        if isinstance(reply, HostHeartbeat):
+            await self._apply_heartbeat(reply)
+            self._known_hosts.record_confirmation(reply, started)
 
-    async def _answer_beat(self, beat: HostBeat) -> HostBeat:
-        self.add_future(self._take_beat(beat))
-        return self._make_beat(beat)
+    async def _answer_heartbeat(self, heartbeat: HostHeartbeat) -> HostHeartbeat:
+        self.add_future(self._apply_heartbeat(heartbeat))
+        return self._make_heartbeat(heartbeat)
 
-    def _make_beat(self, answered: HostBeat | None = None) -> HostBeat:
-        """Return what this host tells a peer, in an answer by the caller's table."""
-        beat = HostBeat(
+    def _make_heartbeat(self, request: HostHeartbeat | None = None) -> HostHeartbeat:
+        """Return this host's heartbeat, in a reply by the table of the request."""
+        heartbeat = HostHeartbeat(
             host=self._board.host,
             incarnation=self._board.incarnation,
             peer_url=self.peer_url,
@@ -245,28 +250,30 @@
                 for topic, follower in self._followers.items()
             },
         )
-        return self._hosts.add_heard(beat, answered, self._timer.now())
+        return self._known_hosts.add_peer_states(heartbeat, request, self._timer.now())
 
-    async def _take_beat(self, beat: HostBeat) -> None:
-        if beat.host == self._board.host:
+    async def _apply_heartbeat(self, heartbeat: HostHeartbeat) -> None:
+        if heartbeat.host == self._board.host:
             return
-        peer = self._hosts.take_beat(beat, self._timer.now())
+        peer = self._known_hosts.apply_heartbeat(heartbeat, self._timer.now())
         if peer is None:
             return
-        for topic, offset in beat.next_offsets.items():
-            await self._catch_up(peer, topic, offset)
+        for topic, offset in heartbeat.next_offsets.items():
+            await self._read_newer_records(peer, topic, offset)
 
-    async def _catch_up(self, peer: PeerState, topic: Topic, offset: int) -> None:
-        # Targets and hosts change all the time; a peer is asked for them only when
-        # the store is silent. A configuration is always worth asking for.
+    async def _read_newer_records(
+        self, peer: PeerState, topic: Topic, offset: int
+    ) -> None:
+        # Targets and hosts change all the time, so peers are asked for them only while
+        # the store is out of reach. Peers are always asked for a newer configuration.
         follower = self._followers[topic]
-        wanted = topic is Topic.CONFIGURATION or self._board.store.out_of_reach
-        if not wanted or offset <= follower.view.next_offset:
+        is_wanted = topic is Topic.CONFIGURATION or self._board.store.out_of_reach
+        if not is_wanted or offset <= follower.view.next_offset:
             return
         link = self._links.get_link(peer.peer_url)
         request = ReadView(topic=topic, since=follower.view.next_offset)
         try:
-            reply = await link.call(request, timeout_s=BEAT_TIMEOUT_S)
+            reply = await link.call(request, timeout_s=CALL_TIMEOUT_S)
         except PeerUnavailableError:
             return
         if isinstance(reply, ViewReply):
--- a/trefoilstage/components/fleet/messages.py
+++ b/trefoilstage/components/fleet/messages.py
@@ -14,7 +14,7 @@
 from trefoilstage.helpers.codec import Codec
 from trefoilstage.helpers.fields import Name, Tokens
 
-# Hosts of a fleet, and one byte each.
+# The largest fleet; a heartbeat has one byte per host.
 MAX_HOSTS = 10_000
 HostStates = Annotated[bytes, Field(max_length=MAX_HOSTS)]
 HostState = Annotated[int, Field(ge=0, le=255)]
@@ -23,8 +23,8 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class HostBeat:
-    """Tell a peer how this host stands and how far it has read each topic."""
+class HostHeartbeat:
+    """Send a peer this host's status and how far it has read each topic."""
 
     host: Name
     incarnation: Name
@@ -33,13 +33,13 @@
     serving: bool
     store_in_reach: bool
     next_offsets: dict[Topic, int]
-    # Predecessors that never touched their locked tokens; None until this is known.
+    # Previous incarnations that never used their locked tokens; None until known.
     untouched: tuple[Name, ...] | None = None
     link_full: bool = False
-    # Where the store has this incarnation's record, -1 before it has one.
+    # The offset of this incarnation's record in the store, -1 before it has one.
     announced_at: Offset = -1
-    # In a large fleet, when others were heard: a byte for each host of the table that
-    # the digest names, or by name where the peer doesn't know that table.
+    # In a large fleet, when other hosts were heard: a byte for each host of the table
+    # with this digest, or a byte by name if the sender doesn't have the peer's table.
     table: Digest = b""
     states: HostStates = b""
     named_states: dict[Name, HostState] = field(default_factory=dict)
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ReadView:
-    """Ask a peer for the newest records of a topic from an offset on."""
+    """Request from a peer the newest records of a topic, starting at an offset."""
 
     topic: Topic
     since: Tokens
@@ -57,14 +57,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ViewReply:
-    """Answer with the newest records of a topic."""
+    """Return the newest records of a topic."""
 
     records: list[KeyedRecord]
     kind: Literal["view_reply"] = "view_reply"
 
 
 FleetMessage = (
-    HostBeat
+    HostHeartbeat
     | ReadView
     | ViewReply
     | EscrowMessage
--- a/trefoilstage/components/fleet/metrics.py
+++ b/trefoilstage/components/fleet/metrics.py
@@ -1,4 +1,4 @@
-"""Serve a forwarding host's metrics as text."""
+"""Serve a forwarding host's metrics in a text format."""
 
 import time
 from collections.abc import Callable, Sequence
@@ -16,12 +16,12 @@
 from trefoilstage.util.stalls import StallWatch
 
 PATH = "/metrics"
-# Lines that a slow reader left behind are tried again this often.
-FLUSH_S = 0.25
+# How often log lines that a slow reader has not accepted yet are written again.
+FLUSH_INTERVAL_S = 0.25
 
 
 class MetricsServer(Service):
-    """Count events and answer on the address for metrics."""
+    """Count events and serve the counts over HTTP."""
 
     def __init__(
         self,
@@ -45,17 +45,19 @@
         self._count_active = count_active
         self._count_blocked = count_blocked
         self._page = MetricsPage()
-        self._stalls = StallWatch(interval_s=FLUSH_S)
+        self._stalls = StallWatch(interval_s=FLUSH_INTERVAL_S)
         self._runner: web.ServerRunner | None = None
 
     async def on_start(self) -> None:
-        """Start to count and to listen."""
+        """Start counting events and listening for requests."""
         self._add_gauges()
         eliot.add_destinations(self._page)
         self._unsubscribe = self._timer.subscribe(
-            name="log lines", interval_s=FLUSH_S, callback=self._tick
+            name="log lines",
+            interval_s=FLUSH_INTERVAL_S,
+            callback=self._flush_and_check_stall,
         )
-        runner = web.ServerRunner(web.Server(self._answer, access_log=None))
+        runner = web.ServerRunner(web.Server(self._handle_request, access_log=None))
         await runner.setup()
         self._runner = runner
         try:
@@ -63,17 +65,17 @@
             port = runner.addresses[0][1]
             log_event(Event.METRICS_SERVED, address=self._address, metrics_port=port)
         except OSError as error:
-            # A host without metrics serves callers as well as any other.
+            # Callers can be served without metrics, so the host goes on.
             log_event(Event.METRICS_UNAVAILABLE, port=self._port, error=str(error))
 
     async def on_stop(self) -> None:
-        """Stop listening and counting."""
+        """Stop counting events and listening for requests."""
         self._unsubscribe()
         eliot.remove_destination(self._page)
         if self._runner is not None:
             await self._runner.cleanup()
 
-    async def _tick(self) -> None:
+    async def _flush_and_check_stall(self) -> None:
         self._lines.flush()
         stall = self._stalls.note_tick(self._timer.now(), time.process_time())
         if stall is not None:
@@ -84,7 +86,7 @@
                 processor_s=stall.processor_s,
             )
 
-    async def _answer(self, request: web.BaseRequest) -> web.Response:
+    async def _handle_request(self, request: web.BaseRequest) -> web.Response:
         if request.path != PATH:
             return web.Response(status=404)
         headers = {"Content-Type": CONTENT_TYPE}
--- a/trefoilstage/components/fleet/watcher.py
+++ b/trefoilstage/components/fleet/watcher.py
@@ -1,4 +1,4 @@
-"""Write on the board what the store says of configuration and targets."""
+"""Write the store's records of the configuration and the targets to the board."""
 
 from collections.abc import Callable
 
@@ -15,7 +15,7 @@
 
 
 class BoardWatcher:
-    """Decode records and keep the board up to date."""
+    """Decode records of the store and update the board."""
 
     def __init__(
         self,
@@ -31,15 +31,15 @@
         self._decode_target = decode_target
 
     def take(self, topic: Topic, records: list[KeyedRecord], now: float) -> None:
-        """Take in the records of a topic."""
+        """Apply the records of a topic."""
         for record in records:
             try:
                 if topic is Topic.CONFIGURATION:
-                    self._take_configuration(record)
+                    self._apply_configuration(record)
                 else:
-                    self._take_target(record, now)
+                    self._apply_target(record, now)
             except MalformedMessageError as error:
-                # A configuration that was in force stays in force.
+                # The previous configuration stays in force.
                 if topic is Topic.TARGETS:
                     self._board.targets.disregard(record.key)
                 log_event(
@@ -50,7 +50,7 @@
                     error=shorten(str(error)),
                 )
 
-    def _take_configuration(self, record: KeyedRecord) -> None:
+    def _apply_configuration(self, record: KeyedRecord) -> None:
         if record.key != self._configuration_key or record.value is None:
             return
         configuration = self._decode_configuration(record.value)
@@ -66,13 +66,13 @@
             routes=len(configuration.routes),
         )
 
-    def _take_target(self, record: KeyedRecord, now: float) -> None:
+    def _apply_target(self, record: KeyedRecord, now: float) -> None:
         targets = self._board.targets
         if record.value is None:
             store = self._board.store
-            # A peer that reached the store again first passes on that entries lapsed
-            # in the outage. Taken for gone, all targets would be missing here until
-            # they register again, and each request refused meanwhile.
+            # A peer that reaches the store again first passes on that entries expired
+            # in the outage. If the targets were dropped immediately, this host would
+            # refuse every request until they register again.
             back_at = now if store.out_of_reach else store.back_at
             targets.drop(record.key, now, back_at)
             log_event(Event.TARGET_DROPPED, target=record.key, offset=record.offset)
