--- a/tests/components/peers/test_link.py
+++ b/tests/components/peers/test_link.py
@@ -1,4 +1,4 @@
-"""Test that a broken link to a peer is told as such."""
+"""Test how a link reports and closes a failed connection to a peer."""
 
 import asyncio
 import unittest
@@ -25,11 +25,11 @@
     """Test calls over a connection that fails."""
 
     async def test_transport_closed_under_a_write_is_a_lost_peer(self) -> None:
-        """Write to a peer whose connection is closed in the same moment.
+        """Guard against a host that ends when a connection closes during a write.
 
-        The event loop may raise RuntimeError then. It must reach the caller as a lost
-        peer: as an unexpected error it would end the whole host, and its callers
-        with it.
+        The event loop may raise RuntimeError then. The caller has to receive
+        PeerUnavailableError: an unexpected error ends the host and all its callers'
+        requests.
         """
         link = make_link(RoundTrips())
         connection = mock.AsyncMock()
@@ -41,33 +41,33 @@
         with self.assertRaises(PeerUnavailableError):
             await link.call(report, timeout_s=1.0)
 
-    async def call_silent_peer(self, other_answer_s: float) -> bool:
-        """Call a peer that answers nothing; tell whether its connection is closed."""
+    async def call_unresponsive_peer(self, other_reply_s: float) -> bool:
+        """Call a peer that does not reply; return whether its connection is closed."""
         now = asyncio.get_running_loop().time()
         trips = RoundTrips()
         for _ in range(N_CALLS):
-            trips.note_answer(other_answer_s, now)
+            trips.note_answer(other_reply_s, now)
         link = make_link(trips)
         link._connection = connection = mock.AsyncMock()
         connection.transport = mock.Mock()
         with (
-            mock.patch("trefoilstage.components.peers.link.SILENCE_S", 0.02),
+            mock.patch("trefoilstage.components.peers.link.UNRESPONSIVE_AFTER_S", 0.02),
             self.assertRaises(PeerUnavailableError),
         ):
             await link.call(WorkReport(host="host-0", work={}), timeout_s=0.03)
         return bool(connection.transport.abort.called)
 
     async def test_connection_of_a_peer_that_lost_its_power_is_closed(self) -> None:
-        self.assertTrue(await self.call_silent_peer(0.001))
+        self.assertTrue(await self.call_unresponsive_peer(0.001))
 
-    async def test_connection_stays_where_all_answers_take_as_long(self) -> None:
-        """Call over a link that is full.
+    async def test_connection_stays_open_when_all_replies_are_as_slow(self) -> None:
+        """Guard against connections closed because this host's own link is full.
 
-        Closed, the connection took all calls that waited on it with it, homes were
-        taken for lost one after the other, and each had to be reached anew over the
-        same link: 2,600 holds were unanswered at two hosts of 90 in 12 s.
+        Closing one failed all calls that waited on it. Homes counted as lost one after
+        the other, and hosts reconnected to each over the same link: 2,600 holds got no
+        reply at two hosts of 90 in 12 s.
         """
-        self.assertFalse(await self.call_silent_peer(0.02))
+        self.assertFalse(await self.call_unresponsive_peer(0.02))
 
 
 if __name__ == "__main__":
--- a/tests/components/relays.py
+++ b/tests/components/relays.py
@@ -1,4 +1,4 @@
-"""Join relays of one log that call each other without sockets."""
+"""Connect the relays of several hosts to one log and to each other, without sockets."""
 
 import asyncio
 import random
@@ -22,7 +22,7 @@
 
 
 class ShortLog:
-    """Keep only the newest record of a stream, or none."""
+    """Simulate a log that keeps only the newest records of a stream, or none."""
 
     def __init__(self) -> None:
         self.records: list[bytes] = []
@@ -38,7 +38,7 @@
     async def read(
         self, stream: str, offset: int, *, wait_s: float, timeout_s: float
     ) -> LogPage:
-        """Return the newest record, if it is the one asked for."""
+        """Return the kept records from an offset on, or raise RecordsExpiredError."""
         end = len(self.records)
         earliest = end - self.n_kept
         if offset < earliest:
@@ -51,14 +51,14 @@
 
 
 class RelayFleet:
-    """Join relays of one log that call each other without sockets."""
+    """Run the relays of several hosts and control their access to the log."""
 
     def __init__(self, *, names: tuple[str, ...]) -> None:
         self.log = ShortLog()
-        self.cut: set[str] = set()
-        # Reads get no answer from the log before this ends, whoever makes them.
+        self.cut_hosts: set[str] = set()
+        # While set, no host gets a reply from the log to a read.
         self.cut_reads = False
-        # Appends that take effect and get no answer.
+        # The number of next appends that take effect but get no reply.
         self.lose_answers = 0
         self.boards: dict[str, Blackboard] = {}
         self.handlers: dict[str, HandlerTable] = {}
@@ -67,7 +67,7 @@
             self.handlers[name] = HandlerTable()
             self.boards[name] = self.make_board(name, names)
             self.relays[name] = RelayedLog(
-                client=CuttableLog(fleet=self, host=name),  # type: ignore[arg-type]
+                client=HostLog(fleet=self, host=name),  # type: ignore[arg-type]
                 blackboard=self.boards[name],
                 links=self,  # type: ignore[arg-type]
                 server=self.handlers[name],  # type: ignore[arg-type]
@@ -76,18 +76,18 @@
             )
 
     def make_board(self, host: str, names: tuple[str, ...]) -> Blackboard:
-        """Return the board of a host that knows the others by the platform's list."""
+        """Return the blackboard of a host with the others on the platform's list."""
         board = Blackboard(host=host, incarnation=f"{host}-1", data_center="brest")
         for name in names:
             board.listed[name] = ListedHost(host=name, peer_url=name)
         return board
 
-    def cut_off(self, name: str) -> None:
+    def cut_from_log(self, name: str) -> None:
         """Cut a host from the log."""
-        self.cut.add(name)
+        self.cut_hosts.add(name)
 
-    def silence(self, *names: str) -> None:
-        """Let hosts answer no call."""
+    def stop_replies(self, *names: str) -> None:
+        """Stop hosts from replying to calls."""
         for name in names:
             self.handlers[name].silent = True
 
@@ -97,7 +97,7 @@
         return [record.data for record in page.records]
 
     async def read_all(self, offset: int) -> None:
-        """Let every host read from an offset on."""
+        """Read from an offset on at every host."""
         for name in self.relays:
             await self.read(name, offset)
 
@@ -107,53 +107,54 @@
 
 
 class HandlerTable:
-    """Hold a peer's handlers and call them as a link does."""
+    """Stand in for a peer's server and for the link to it."""
 
     def __init__(self) -> None:
         self._handlers: dict[type, Handler] = {}
         self.silent = False
 
     def register(self, kind: type, handler: Handler) -> None:
-        """Keep the handler of one kind of message."""
+        """Register the handler for messages of a type."""
         self._handlers[kind] = handler
 
     async def call(self, message: PeerMessage, *, timeout_s: float) -> PeerMessage:
-        """Return the answer to a message."""
+        """Return the handler's reply, or raise PeerUnavailableError."""
         if self.silent or type(message) not in self._handlers:
-            raise PeerUnavailableError("no answer")
+            raise PeerUnavailableError("no reply")
         try:
             return await self._handlers[type(message)](message)
         except (NotReadyError, LogUnavailableError) as error:
             raise PeerUnavailableError(str(error)) from error
 
 
-class CuttableLog:
-    """Reach the log of a fleet as one host does."""
+class HostLog:
+    """Access the log as one host, which may be cut from it."""
 
     def __init__(self, *, fleet: RelayFleet, host: str) -> None:
         self._fleet = fleet
         self._host = host
 
     def _check(self) -> None:
-        if self._host in self._fleet.cut:
-            raise LogUnavailableError("cut")
+        if self._host in self._fleet.cut_hosts:
+            raise LogUnavailableError("host is cut from the log")
 
     async def append(
         self, stream: str, records: list[bytes], *, timeout_s: float
     ) -> int:
-        """Append to the log unless cut from it; lose the answer as told."""
+        """Append to the log unless cut from it; drop the reply if the fleet says so."""
         self._check()
         first = await self._fleet.log.append(stream, records, timeout_s=timeout_s)
         if self._fleet.lose_answers > 0:
             self._fleet.lose_answers -= 1
-            raise LogUnavailableError("answer lost")
+            raise LogUnavailableError("reply lost")
         return first
 
     async def read(
         self, stream: str, offset: int, *, wait_s: float, timeout_s: float
     ) -> LogPage:
         """Read from the log unless cut from it."""
-        # A log that answered at once would leave the loop to the one who reads.
+        # If the log replied without a pause, a host that reads in a loop would block
+        # the event loop.
         await asyncio.sleep(READ_S)
         self._check()
         while self._fleet.cut_reads:
--- a/tests/components/test_relay.py
+++ b/tests/components/test_relay.py
@@ -1,4 +1,4 @@
-"""Test reading what the log dropped before anybody could read it."""
+"""Test reading records that the log dropped before any host had read them."""
 
 import random
 import unittest
@@ -18,13 +18,14 @@
 
 
 class RelayTest(unittest.IsolatedAsyncioTestCase):
-    """Test a relayed log without peers."""
+    """Test a relayed log without peers that reply."""
 
     async def test_group_that_outlives_itself_is_read(self) -> None:
-        """Append a checkpoint and a change at once to a log that keeps one record.
+        """Guard against a record that is dropped while its own group is appended.
 
-        The log drops the first as it takes the second. No host can read it, so all
-        would wait before the gap, and the operator would get no verdict.
+        A log that keeps one record drops the checkpoint when it appends the change of
+        the same group. Without the appending host's copy, all hosts would wait at the
+        gap, and the operator would get no verdict.
         """
         relay = RelayedLog(
             client=ShortLog(),  # type: ignore[arg-type]
@@ -38,17 +39,17 @@
         page = await relay.read("config", 0, wait_s=0.0)
         found = [(record.offset, record.data) for record in page.records]
         self.assertEqual(found, [(0, b"checkpoint"), (1, b"change")])
-        # What another host appended before that is gone for good.
+        # A record that another host appended before is lost permanently.
         await relay.append("config", [b"later"])
         with self.assertRaises(RecordsExpiredError):
             await relay.read("ledger-0", 0, wait_s=0.0)
 
-    async def test_peer_lost_while_another_is_asked_is_passed_over(self) -> None:
-        """Cut a host from the log and ask two peers, of which the second is lost.
+    async def test_peer_lost_while_another_is_called_is_skipped(self) -> None:
+        """Guard against a host that ends when a peer is lost during a read.
 
-        The first does not answer, and while it is waited for the second is taken off
-        the list. The host must go on without a page; it ended instead, with all its
-        callers' requests.
+        A host without the log calls two peers. The first does not reply, and meanwhile
+        the second is removed from the list. The read has to fail as unavailable; the
+        host ended instead, with all its callers' requests.
         """
         board = Blackboard(host="h", incarnation="h-1", data_center="brest")
         for name in ("a", "b"):
@@ -56,7 +57,7 @@
         relay = RelayedLog(
             client=ShortLog(),  # type: ignore[arg-type]
             blackboard=board,
-            links=LosingLinks(board=board),  # type: ignore[arg-type]
+            links=FailingLinks(board=board),  # type: ignore[arg-type]
             server=PeerServer(address="127.0.0.1", port=0, codec=FRAME_CODEC),
             timeout_s=1.0,
             generator=random.Random(1),
@@ -66,47 +67,47 @@
 
 
 class ExpiredTest(unittest.IsolatedAsyncioTestCase):
-    """Test reading what one host appended and the log dropped at once."""
+    """Test reading records that one host appended and the log dropped immediately."""
 
     def setUp(self) -> None:
         self.fleet = RelayFleet(names=("a", "b", "c"))
 
     async def test_record_appended_for_a_peer_is_read(self) -> None:
-        """Append a change through a peer, then a checkpoint, to a log that keeps one.
+        """Guard against a change that a peer appended for another host and no one kept.
 
-        After an outage hosts find the log again one by one, and the first appends for
-        the others. The change is gone as the checkpoint is taken. Nobody kept it: all
-        hosts logged `state_expired offset=4 earliest=5`, none was caught up, so none
-        gave the others a state, and an operator got no verdict for 30 s and more.
+        After an outage, the first host that reaches the log appends for the others. A
+        log that keeps one record drops the change when a checkpoint is appended. All
+        hosts logged `state_expired offset=4 earliest=5`; none was caught up, so none
+        sent the others a state, and an operator got no verdict for 30 s and more.
         """
         await self.fleet.read_all(0)
-        self.fleet.cut_off("b")
+        self.fleet.cut_from_log("b")
         await self.fleet.relays["b"].append("config", [b"change"])
         await self.fleet.relays["a"].append("config", [b"checkpoint"])
-        self.fleet.cut.clear()
+        self.fleet.cut_hosts.clear()
         for name in self.fleet.relays:
             records = await self.fleet.read(name, 0)
             self.assertEqual(records[0], b"change", name)
 
     async def test_record_that_only_a_probe_has_read_is_folded(self) -> None:
-        """Guard against a host that seeks elsewhere what it holds itself."""
+        """Guard against a host that requests from peers a record that it has itself."""
         await self.fleet.relays["a"].append("config", [b"base"])
         await self.fleet.read_all(0)
-        self.fleet.cut_off("a")
+        self.fleet.cut_from_log("a")
         await self.fleet.read("a", 1)
         await self.fleet.relays["b"].append("config", [b"first"])
-        self.fleet.cut.clear()
+        self.fleet.cut_hosts.clear()
         await self.fleet.relays["a"].start()
         self.addAsyncCleanup(self.fleet.relays["a"].stop)
         await wait_until(lambda: self.fleet.boards["a"].log_in_reach, "the probe")
         await self.fleet.relays["c"].append("config", [b"second"])
-        self.fleet.silence("b", "c")
+        self.fleet.stop_replies("b", "c")
         self.assertEqual((await self.fleet.read("a", 1))[0], b"first")
 
     async def test_budgets_wait_for_hosts_declared_lost(self) -> None:
-        """Guard against tokens spent twice upon an operator's word."""
+        """Guard against tokens spent twice because an operator declared hosts lost."""
         board = self.fleet.boards["a"]
-        self.fleet.silence("b", "c")
+        self.fleet.stop_replies("b", "c")
         board.declared_lost = dict.fromkeys(("b", "c"), float("inf"))
         passed = []
         for stream in ("config", "ledger-0"):
@@ -115,11 +116,11 @@
         self.assertEqual(passed, [True, False])
 
     async def test_record_is_read_from_the_one_host_that_has_it(self) -> None:
-        """Append a change at one host, then another at a second one.
+        """Guard against a peer's empty reply that ends the search for a dropped record.
 
-        The log drops the first. A third host asks for it: peers that reach the log and
-        have nothing newer said so, and their answer was taken for the end of the log
-        before the host that holds the change was asked.
+        Two hosts append a change each, and the log drops the first. A peer that reached
+        the log and had nothing newer replied without records; this counted as the end
+        of the log before the host that has the first change was called.
         """
         await self.fleet.relays["a"].append("config", [b"base"])
         for name in self.fleet.relays:
@@ -131,17 +132,17 @@
             self.assertEqual(records[0], b"first", name)
 
 
-class LosingLinks:
-    """Lose every peer as soon as the first one is called."""
+class FailingLinks:
+    """Fail each call, and remove all peers from the list at the first one."""
 
     def __init__(self, *, board: Blackboard) -> None:
         self._board = board
 
-    def get_link(self, url: str) -> "LosingLinks":
+    def get_link(self, url: str) -> "FailingLinks":
         """Return the link to any peer."""
         return self
 
     async def call(self, message: object, *, timeout_s: float) -> object:
-        """Lose all peers and answer nothing."""
+        """Remove all peers and fail as if none replied."""
         self._board.listed.clear()
-        raise PeerUnavailableError("silent")
+        raise PeerUnavailableError("no reply")
--- a/tests/components/test_stalled_connects.py
+++ b/tests/components/test_stalled_connects.py
@@ -1,4 +1,4 @@
-"""Test connections that time out only because their host stood still."""
+"""Test connections that time out only because this host was suspended."""
 
 import asyncio
 import time
@@ -32,39 +32,39 @@
 from trefoilstage.util.stalls import STALLED_S
 
 
-async def answer(request: web.Request) -> web.Response:
-    """Tell that there is no room, which only a request that arrives can learn."""
+async def refuse_as_busy(request: web.Request) -> web.Response:
+    """Refuse the request as busy, which shows the client that it reached the target."""
     return web.Response(status=429)
 
 
-def freeze_at_connect(timeout_s: float) -> Any:
-    """Suspend this process past the timeout while its first connection opens."""
+def suspend_at_connect(timeout_s: float) -> Any:
+    """Suspend this process past the timeout while its first connection is opened."""
     loop = asyncio.get_running_loop()
     connect = loop.sock_connect
-    frozen: list[bool] = []
+    suspended: list[bool] = []
 
-    async def connect_frozen(*arguments: Any) -> None:
-        if not frozen:
-            frozen.append(True)
+    async def connect_suspended(*arguments: Any) -> None:
+        if not suspended:
+            suspended.append(True)
             loop.call_soon(time.sleep, timeout_s + 2 * STALLED_S)
         await connect(*arguments)
 
-    return mock.patch.object(loop, "sock_connect", connect_frozen)
+    return mock.patch.object(loop, "sock_connect", connect_suspended)
 
 
 class StalledConnectTest(unittest.IsolatedAsyncioTestCase):
-    """Suspend a host as it connects to a target that is well."""
+    """Suspend a host while it connects to a healthy target."""
 
     async def asyncSetUp(self) -> None:
         app = web.Application()
-        app.router.add_post("/{path:.*}", answer)
+        app.router.add_post("/{path:.*}", refuse_as_busy)
         runner, self.port = await serve(app)
         self.addAsyncCleanup(runner.cleanup)
         self.session = open_session(aiohttp.TCPConnector())
         self.addAsyncCleanup(self.session.close)
 
     async def test_prompt_is_sent_when_its_host_wakes(self) -> None:
-        """Guard against a refusal for a target that is well."""
+        """Guard against a connect timeout reported for a healthy target."""
         generation = Generation(
             request="r-1",
             workspace="school",
@@ -79,55 +79,55 @@
         client = TargetClient(session=self.session)
         target = mock.Mock(url=f"http://{LOOPBACK}:{self.port}")
         refused = self.assertRaises(TargetRefusedError)
-        with freeze_at_connect(CONNECT_TIMEOUT_S), refused as caught:
+        with suspend_at_connect(CONNECT_TIMEOUT_S), refused as caught:
             await anext(client.generate(target, generation))
         self.assertTrue(caught.exception.is_busy, caught.exception)
 
-    async def test_probe_of_a_live_target_is_made_anew_after_a_stall(self) -> None:
-        """Guard against requests blocked for crashes that a suspended host saw."""
+    async def test_probe_of_a_live_target_is_repeated_after_a_stall(self) -> None:
+        """Guard against requests blocked for crashes that a suspended host inferred."""
         probe = ConnectProbe(outbound_address=LOOPBACK)
-        with freeze_at_connect(PROBE_TIMEOUT_S):
+        with suspend_at_connect(PROBE_TIMEOUT_S):
             result = await probe.connect(f"{LOOPBACK}:{self.port}")
         self.assertIs(result, ProbeResult.ACCEPTED)
 
     async def test_target_is_not_blamed_for_its_hosts_stall(self) -> None:
-        """Guard against targets taken for silent by a host that was suspended."""
+        """Guard against targets that count as unresponsive to a suspended host."""
         border = mock.Mock()
         border.write_request.return_value = []
         sender = TargetSender(session=self.session, border=border)
         request = mock.Mock(method="POST", raw_target="/x/")
         target = make_target("i-1", address=f"{LOOPBACK}:{self.port}")
-        with freeze_at_connect(FORWARDING_TIMEOUT_S):
+        with suspend_at_connect(FORWARDING_TIMEOUT_S):
             sent = await sender.send(request, b"{}", target, mock.Mock())
         assert isinstance(sent, NotSent), sent
         self.assertEqual((sent.stalled, sent.silent), (True, False))
 
 
 class StalledPipelineTest(unittest.TestCase):
-    """Forward a request whose host stood still."""
+    """Forward a request on a host that was suspended."""
 
     def test_request_goes_to_the_same_target_after_a_stall(self) -> None:
-        """Guard against leaving out a target that is well."""
-        parts = WakingParts(status=200)
+        """Guard against excluding a healthy target."""
+        parts = SuspendedParts(status=200)
         refusal = run_virtually(ask(parts, RouteKind.IDEMPOTENT, max_attempts=1))
         self.assertIsNone(refusal)
         self.assertEqual(parts.excluded, [set(), set()])
 
 
-class WakingParts(Parts):
-    """Stand still at the first send."""
+class SuspendedParts(Parts):
+    """Report at the first send that the host was suspended."""
 
     def __init__(self, *, status: int) -> None:
         super().__init__(status=status)
         self.excluded: list[set[str]] = []
 
     def choose(self, **options: object) -> Any:
-        """Note which targets are left out."""
+        """Record which targets are excluded."""
         self.excluded.append(set(cast(set[str], options["excluded"])))
         return make_target("i-1")
 
     async def send(self, *arguments: object) -> OpenAnswer:
-        """Stand still once, then get an answer."""
+        """Return a suspended send once, then an answer."""
         if len(self.excluded) == 1:
             stalled = NotSent(reason="ConnectionTimeoutError", stalled=True)
             return cast(OpenAnswer, stalled)
--- a/trefoilstage/components/peers/__init__.py
+++ b/trefoilstage/components/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Call other hosts and relay the log to those that are cut from it."""
+"""Call other hosts, and relay the log to hosts that can't reach it."""
--- a/trefoilstage/components/peers/frames.py
+++ b/trefoilstage/components/peers/frames.py
@@ -1,4 +1,4 @@
-"""Wrap each message between hosts, so that its reply finds the caller."""
+"""Wrap messages between hosts in numbered frames that match replies to calls."""
 
 from dataclasses import dataclass
 from typing import Annotated, Any, Generic, Literal, TypeVar
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ErrorReply:
-    """Answer a call that the peer could not serve."""
+    """Report to the caller that its call failed."""
 
     detail: Name
     kind: Literal["error_reply"] = "error_reply"
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Frame(Generic[BodyT]):
-    """Number a message so that its reply finds the caller."""
+    """Carry a message and the number by which a reply is matched to its call."""
 
     number: Tokens
     reply: bool
--- a/trefoilstage/components/peers/link.py
+++ b/trefoilstage/components/peers/link.py
@@ -14,12 +14,12 @@
 from trefoilstage.helpers.events import Event, log_event
 
 CONNECT_TIMEOUT_S = 1.0
-SILENCE_S = 0.9
-SILENT_TRIPS = 3  # times what other peers' answers take
+UNRESPONSIVE_AFTER_S = 0.9
+UNRESPONSIVE_ROUND_TRIPS = 3  # multiples of the fastest recent reply of any peer
 
 
 class PeerLink:
-    """Send calls to one peer and match its replies."""
+    """Send calls to one peer and match its replies to them."""
 
     def __init__(
         self,
@@ -34,18 +34,22 @@
         self._round_trips = round_trips
         self._outbound_address = outbound_address
         self._connection: ClientConnection | None = None
-        self._reader: asyncio.Task[None] | None = None
-        self._waiting: dict[int, asyncio.Future[Any]] = {}
+        self._reader_task: asyncio.Task[None] | None = None
+        self._pending_calls: dict[int, asyncio.Future[Any]] = {}
         self._next_number = 0
-        self._connecting = asyncio.Lock()
+        self._connect_lock = asyncio.Lock()
         self._last_received = 0.0
 
     async def call(self, message: Any, *, timeout_s: float) -> Any:
-        """Return the peer's reply, or raise PeerUnavailableError."""
+        """Return the peer's reply.
+
+        Raise PeerUnavailableError if the peer does not reply in time or reports an
+        error, or if the connection fails.
+        """
         number = self._next_number
         self._next_number += 1
         future: asyncio.Future[Any] = asyncio.get_running_loop().create_future()
-        self._waiting[number] = future
+        self._pending_calls[number] = future
         started = asyncio.get_running_loop().time()
         try:
             async with asyncio.timeout(timeout_s):
@@ -55,12 +59,12 @@
                 reply = await future
         except TimeoutError as error:
             self._round_trips.note_timeout(timeout_s, started + timeout_s)
-            self._abandon_silent_connection(started)
+            self._close_unresponsive_connection(started)
             raise PeerUnavailableError(repr(error)) from error
         except (OSError, WebSocketException) as error:
             raise PeerUnavailableError(repr(error)) from error
         finally:
-            self._waiting.pop(number, None)
+            self._pending_calls.pop(number, None)
         ended = asyncio.get_running_loop().time()
         self._round_trips.note_answer(ended - started, ended)
         if isinstance(reply, ErrorReply):
@@ -68,7 +72,7 @@
         return reply
 
     async def tell(self, message: Any, *, timeout_s: float) -> None:
-        """Send a message that gets no reply, or raise PeerUnavailableError."""
+        """Send a one-way message; raise PeerUnavailableError if it can't be sent."""
         frame = Frame(number=0, reply=True, body=message)
         try:
             async with asyncio.timeout(timeout_s):
@@ -79,28 +83,30 @@
 
     async def close(self) -> None:
         """Close the connection."""
-        if self._reader is not None:
-            self._reader.cancel()
+        if self._reader_task is not None:
+            self._reader_task.cancel()
         if self._connection is not None:
             await self._connection.close()
 
-    def _abandon_silent_connection(self, since: float) -> None:
-        # A host that lost its power closes nothing. Its successor at the same
-        # address would stay unheard until the kernel gives the old connection
-        # up, many minutes later.
+    def _close_unresponsive_connection(self, called_at: float) -> None:
+        # A host that lost power does not close its connections. The next host at the
+        # same address would stay out of reach until the kernel times out the old
+        # connection, many minutes later.
         connection = self._connection
-        # On a full link answers take as long from every peer; closed, the connection
-        # would take its waiting calls with it and have to be opened over that link.
+        # On a full link the replies of all peers are slow. Closing the connection would
+        # fail the other calls on it, and reconnecting would use the same full link.
         now = asyncio.get_running_loop().time()
         usual_s = self._round_trips.estimate_answer(now)
-        if connection is None or now - since < max(SILENCE_S, SILENT_TRIPS * usual_s):
+        if connection is None or now - called_at < max(
+            UNRESPONSIVE_AFTER_S, UNRESPONSIVE_ROUND_TRIPS * usual_s
+        ):
             return
-        if self._last_received < since:
+        if self._last_received < called_at:
             connection.transport.abort()
             self._drop_connection(connection)
 
     async def _connect(self) -> ClientConnection:
-        async with self._connecting:
+        async with self._connect_lock:
             if self._connection is None:
                 self._connection = await connect(
                     self.url,
@@ -112,26 +118,28 @@
                     proxy=None,
                     local_addr=(self._outbound_address, 0),
                 )
-                self._reader = asyncio.create_task(self._read(self._connection))
+                self._reader_task = asyncio.create_task(
+                    self._read_replies(self._connection)
+                )
             return self._connection
 
-    async def _read(self, connection: ClientConnection) -> None:
+    async def _read_replies(self, connection: ClientConnection) -> None:
         try:
             async for data in connection:
                 self._last_received = asyncio.get_running_loop().time()
-                self._take_reply(data)
+                self._handle_reply(data)
         except (OSError, WebSocketException):
             pass
         finally:
             self._drop_connection(connection)
 
-    def _take_reply(self, data: bytes | str) -> None:
+    def _handle_reply(self, data: bytes | str) -> None:
         try:
             frame = self._codec.decode(data if isinstance(data, bytes) else b"")
         except MalformedMessageError as error:
             log_event(Event.PEER_MESSAGE_MALFORMED, peer=self.url, error=str(error))
             return
-        future = self._waiting.get(frame.number)
+        future = self._pending_calls.get(frame.number)
         if frame.reply and future is not None and not future.done():
             future.set_result(frame.body)
 
@@ -139,9 +147,9 @@
         if self._connection is not connection:
             return
         self._connection = None
-        for future in self._waiting.values():
+        for future in self._pending_calls.values():
             if not future.done():
-                future.set_exception(ConnectionResetError("peer link lost"))
+                future.set_exception(ConnectionResetError("connection to peer lost"))
 
 
 async def send_data(connection: ClientConnection, data: bytes) -> None:
@@ -149,6 +157,6 @@
     try:
         await connection.send(data)
     except RuntimeError as error:
-        # The event loop may raise it for a write to a transport that is closed. Taken
-        # for a fault of the program it would end the host.
-        raise ConnectionResetError("peer link lost") from error
+        # The event loop may raise RuntimeError for a write to a closed transport. As an
+        # unexpected error, it would end the host.
+        raise ConnectionResetError("connection to peer lost") from error
--- a/trefoilstage/components/peers/links.py
+++ b/trefoilstage/components/peers/links.py
@@ -1,4 +1,4 @@
-"""Keep one link for each peer."""
+"""Manage the links to peers, one per address."""
 
 from typing import Any
 
@@ -11,7 +11,7 @@
 
 
 class PeerLinks(Service):
-    """Own the links to peers, opened when first used."""
+    """Create a link to each peer on first use and close all links at the end."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         self._links: dict[str, PeerLink] = {}
 
     def get_link(self, url: str) -> PeerLink:
-        """Return the link to a peer's address."""
+        """Return the link to a peer's address; create it if there is none."""
         link = self._links.get(url)
         if link is None:
             link = PeerLink(
--- a/trefoilstage/components/peers/log_peers.py
+++ b/trefoilstage/components/peers/log_peers.py
@@ -1,4 +1,4 @@
-"""Call the peers that stand in for the log."""
+"""Call the peers through which a host uses the log while it can't reach it."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -10,108 +10,125 @@
 from trefoilstage.util.hashing import rank_by_rendezvous
 
 PEER_TIMEOUT_S = 1.0
-MAX_PEERS_ASKED = 4
+MAX_PEERS_CALLED = 4
 
 
 class LogPeers:
-    """Choose the peers to ask, and ask them one after the other."""
+    """Choose the peers to call, and call them one after the other."""
 
     def __init__(self, *, blackboard: Blackboard, links: PeerLinks) -> None:
         self._blackboard = blackboard
         self._links = links
-        self._favourite = ""
+        self._last_responder = ""
         self._n_picked = 0
-        self._n_unheard = 0
-        self._unheard = ""
+        self._n_unconfirmed_picked = 0
+        self._unconfirmed_host = ""
 
     @property
     def host(self) -> str:
-        """Return the name of the host that asks."""
+        """Return the name of this host."""
         return self._blackboard.host
 
-    async def ask(
+    async def call_each(
         self, message: PeerMessage, names: list[str]
     ) -> AsyncIterator[PeerMessage]:
-        """Yield the replies of those that answer, in order."""
+        """Call peers one after the other and yield their replies.
+
+        Peers that do not reply are skipped.
+        """
         for name in names:
             try:
                 reply = await self.call(name, message)
             except PeerUnavailableError:
-                if self._favourite == name:
-                    self._favourite = ""
+                if self._last_responder == name:
+                    self._last_responder = ""
                 continue
-            self._favourite = name
+            self._last_responder = name
             yield reply
 
     async def call(self, name: str, message: PeerMessage) -> PeerMessage:
-        """Return a live peer's reply."""
-        url = self._find_urls().get(name)
-        if url is None and name == self._unheard:
-            url = self.find_all_urls().get(name)
+        """Return a peer's reply.
+
+        Raise PeerUnavailableError if it does not reply or is lost; the host that was
+        picked last as unconfirmed is called all the same.
+        """
+        url = self._get_live_urls().get(name)
+        if url is None and name == self._unconfirmed_host:
+            url = self.get_all_urls().get(name)
         if url is None:
-            # Lost while another peer was asked. Taken for a fault of the program, it
-            # ended hosts that were cut from the log just as their peers were lost.
-            raise PeerUnavailableError(f"{name} is lost")
+            # The peer was lost while another one was called. As an unexpected error,
+            # this ended hosts that lost the log and their peers at the same time.
+            raise PeerUnavailableError(f"peer {name} is lost")
         return await self.call_at(url, message)
 
     async def call_at(self, url: str, message: PeerMessage) -> PeerMessage:
-        """Return the reply of whoever listens at an address."""
+        """Return the reply of the host at an address."""
         link = self._links.get_link(url)
         reply: PeerMessage = await link.call(message, timeout_s=PEER_TIMEOUT_S)
         return reply
 
-    def rank(self) -> list[str]:
-        """Return the peers to ask, the one that answered last first."""
-        names = rank_by_rendezvous(self._blackboard.host, self._find_urls())
-        if self._favourite in names:
-            names.remove(self._favourite)
-            names.insert(0, self._favourite)
-        return names[:MAX_PEERS_ASKED]
-
-    def pick_next(self) -> list[str]:
-        """Return the peers whose turn it is, so that every one is asked in the end."""
-        names = sorted(self._find_urls())
+    def list_preferred(self) -> list[str]:
+        """Return the live peers to call, the last one that replied first."""
+        names = rank_by_rendezvous(self._blackboard.host, self._get_live_urls())
+        if self._last_responder in names:
+            names.remove(self._last_responder)
+            names.insert(0, self._last_responder)
+        return names[:MAX_PEERS_CALLED]
+
+    def pick_next_peers(self) -> list[str]:
+        """Return the next live peers in turn, and an unconfirmed host.
+
+        Repeated calls of this method go through all live peers.
+        """
+        names = sorted(self._get_live_urls())
         first = self._n_picked % len(names) if names else 0
-        self._n_picked += MAX_PEERS_ASKED
-        picked = (names[first:] + names[:first])[:MAX_PEERS_ASKED]
-        return [*picked, *self.pick_unheard()]
+        self._n_picked += MAX_PEERS_CALLED
+        picked = (names[first:] + names[:first])[:MAX_PEERS_CALLED]
+        return [*picked, *self.pick_unconfirmed()]
 
-    def pick_unheard(self) -> list[str]:
-        """Return the next of the hosts that aren't known to live, if there is one.
+    def pick_unconfirmed(self) -> list[str]:
+        """Return the next host that is not known to be live, if there is one.
 
-        A host that started again counts as lost until its announcement is folded, and
-        may be the only one that has the record before that.
+        A restarted host counts as lost until its announcement is folded, and may be the
+        only host that has the record before it.
         """
-        names = sorted(self.find_all_urls().keys() - self._find_urls().keys())
+        names = sorted(self.get_all_urls().keys() - self._get_live_urls().keys())
         if not names:
             return []
-        self._unheard = names[self._n_unheard % len(names)]
-        self._n_unheard += 1
-        return [self._unheard]
+        self._unconfirmed_host = names[self._n_unconfirmed_picked % len(names)]
+        self._n_unconfirmed_picked += 1
+        return [self._unconfirmed_host]
 
-    def find_all_urls(self) -> dict[str, str]:
-        """Return the addresses of all other hosts, also of those taken for lost."""
+    def get_all_urls(self) -> dict[str, str]:
+        """Return the addresses of all other hosts, including lost ones, by host."""
         hosts = self._blackboard.config.hosts.values()
         urls = {entry.host: entry.peer_url for entry in hosts}
-        # A host that started again under its name can't announce itself meanwhile.
+        # A host that restarted under its previous name may not have been able to
+        # announce itself yet; the platform's list has its new address.
         listed = self._blackboard.listed.values()
         urls |= {entry.host: entry.peer_url for entry in listed}
         urls.pop(self._blackboard.host, None)
         return urls
 
-    def list_incarnations(self) -> dict[str, str]:
-        """Return the incarnations of the hosts on the list, by host."""
+    def get_incarnations(self) -> dict[str, str]:
+        """Return the incarnations of the hosts in the configuration, by host."""
         hosts = self._blackboard.config.hosts.values()
         return {entry.host: entry.incarnation for entry in hosts}
 
     def list_declared_lost(self) -> set[str]:
-        """Return the hosts that nobody is to wait for, by an operator's word."""
+        """Return the hosts that an operator has declared lost.
+
+        No other host is to wait for them.
+        """
         now = asyncio.get_running_loop().time()
         declared = self._blackboard.declared_lost
         return {name for name, until in declared.items() if now < until}
 
-    def _find_urls(self) -> dict[str, str]:
-        """Return live peers' addresses; a newcomer has only the platform's list."""
+    def _get_live_urls(self) -> dict[str, str]:
+        """Return the addresses of live peers and of hosts not yet announced, by host.
+
+        The latter come from the platform's list, the only source that a new host has.
+        """
         urls = {
             item.host: item.peer_url
             for item in self._blackboard.listed.values()
--- a/trefoilstage/components/peers/messages.py
+++ b/trefoilstage/components/peers/messages.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Heartbeat:
-    """Tell a peer that this incarnation lives."""
+    """Show a peer that this incarnation is live."""
 
     host: Name
     incarnation: Name
@@ -32,10 +32,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ReadRecords:
-    """Ask a peer for the records of a stream from an offset on.
+    """Request from a peer the records of a stream, starting at an offset.
 
-    With `fence`, a peer that has not folded the first of them and does not hold it
-    promises that it never will fold it.
+    With `fence`, a peer that has not folded the first record and does not have it
+    promises never to fold it.
     """
 
     stream: Name
@@ -46,10 +46,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RecordsReply:
-    """Answer with the records a peer holds, or say from where on they are kept.
+    """Return the records that a peer has, or the earliest offset that it can return.
 
-    `folded` is the first offset that the peer, of that incarnation, has not folded,
-    None if it does not follow the stream.
+    `fresh` is false if the log is out of the peer's reach, so that newer records may
+    exist. `folded` is the first offset that this incarnation of the peer has not
+    folded, None if it does not follow the stream.
     """
 
     offsets: tuple[int, ...] = ()
@@ -66,7 +67,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ReadState:
-    """Ask a peer for a part of a stream's state; of one state while offset is set."""
+    """Request a part of a stream's state from a peer, of the one at `offset` if set."""
 
     stream: Name
     part: Tokens = 0
@@ -76,7 +77,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StateReply:
-    """Answer with a part of the compressed state before an offset."""
+    """Return a part of a stream's compressed state before an offset."""
 
     offset: Tokens
     fold_version: int
@@ -88,7 +89,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AppendRecords:
-    """Ask a peer to append a group to the log."""
+    """Request that a peer append a group of records to the log."""
 
     stream: Name
     records: tuple[bytes, ...]
@@ -97,7 +98,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AppendReply:
-    """Answer an append with its first offset, or -1 when the log gave none."""
+    """Return the first offset of an appended group, -1 if the log returned none."""
 
     first: int
     kind: Literal["append_reply"] = "append_reply"
--- a/trefoilstage/components/peers/positions.py
+++ b/trefoilstage/components/peers/positions.py
@@ -1,4 +1,4 @@
-"""Ask all hosts how far they have read a stream."""
+"""Ask all hosts how far they have folded a stream."""
 
 from trefoilstage.components.log_client.loss import (
     PeerPosition,
@@ -14,32 +14,34 @@
 MAX_NAMES_LOGGED = 5
 
 
-async def may_pass_over(
+async def may_skip_record(
     peers: LogPeers, stream: str, offset: int, *, fence: bool = False
 ) -> bool:
-    """Tell whether this host is to go on without the record at an offset.
+    """Return whether this host may skip the record at an offset.
 
-    With `fence`, each host has promised not to fold that record.
+    With `fence`, every host also has to promise not to fold that record.
     """
     message = ReadRecords(stream=stream, offset=offset, fence=fence)
     positions: dict[str, PeerPosition | None] = {}
-    # A lost draw would count as free, and its tokens be spent twice.
+    # Ledgers wait also for hosts that were declared lost: the tokens of a draw that
+    # only such a host has folded would count as free and be spent twice.
     lost = peers.list_declared_lost() if stream == CONFIG_STREAM else set()
-    for name, url in sorted(peers.find_all_urls().items()):
-        position = await find_position(peers, url, message)
+    for name, url in sorted(peers.get_all_urls().items()):
+        position = await get_position(peers, url, message)
         if position is None and name in lost:
             continue
         positions[name] = position
-        # All but the first by name end here, so that 410 hosts make few calls each.
+        # Every host but the first by name returns here after a few calls, also in a
+        # fleet of 410 hosts.
         if leaves_it_to(position, name, host=peers.host, offset=offset):
             return False
-    silent = [name for name, position in positions.items() if position is None]
-    if silent:
+    unresponsive = [name for name, position in positions.items() if position is None]
+    if unresponsive:
         log_event(
             Event.RECORD_MISSING,
             stream=stream,
             offset=offset,
-            unanswered=",".join(silent[:MAX_NAMES_LOGGED]),
+            unanswered=",".join(unresponsive[:MAX_NAMES_LOGGED]),
         )
     return may_go_on(
         host=peers.host,
@@ -47,16 +49,20 @@
         positions=positions,
         incarnations={
             name: incarnation
-            for name, incarnation in peers.list_incarnations().items()
+            for name, incarnation in peers.get_incarnations().items()
             if name not in lost
         },
     )
 
 
-async def find_position(
+async def get_position(
     peers: LogPeers, url: str, message: ReadRecords
 ) -> PeerPosition | None:
-    """Return where a host stands, None if it does not answer or follow the stream."""
+    """Return how far a host has folded the stream.
+
+    Return None if it does not reply or does not follow the stream, or if the message
+    asks for a fence and the host did not promise one.
+    """
     try:
         reply = await peers.call_at(url, message)
     except PeerUnavailableError:
--- a/trefoilstage/components/peers/relay.py
+++ b/trefoilstage/components/peers/relay.py
@@ -1,4 +1,9 @@
-"""Read from the log, or through peers while the log is out of reach."""
+"""Read from the log, or through peers while the log is out of reach.
+
+A record that the log dropped before every host had read it is fetched from a peer. If
+no host has it, the hosts agree to skip it: each one fences its offset, that is, it
+promises never to fold the record at that offset.
+"""
 
 import asyncio
 import random
@@ -21,7 +26,7 @@
     ReadRecords,
     RecordsReply,
 )
-from trefoilstage.components.peers.positions import may_pass_over
+from trefoilstage.components.peers.positions import may_skip_record
 from trefoilstage.components.peers.server import PeerServer
 from trefoilstage.components.peers.state_transfer import fetch_state
 from trefoilstage.exceptions import (
@@ -32,16 +37,16 @@
 from trefoilstage.helpers.events import Event, log_event
 from trefoilstage.util.backoff import Backoff
 
-RELAY_POLL_S = 0.1
-PROBE_FIRST_S = 0.2
-PROBE_MAX_S = 2.0
+RELAY_POLL_INTERVAL_S = 0.1
+PROBE_INITIAL_DELAY_S = 0.2
+PROBE_MAX_DELAY_S = 2.0
 
 
 class RelayedLog(Service):
-    """Use the log while it answers and peers while it does not.
+    """Use the log while it is in reach, otherwise the peers.
 
-    A record is the same from whoever relays it. A peer answers a read from
-    its own memory or the log, never through a third host, so no call loops.
+    A record is the same whichever host relays it. A peer replies to a read from its
+    memory or from the log, never through a third host, so calls can't loop.
     """
 
     def __init__(
@@ -60,7 +65,9 @@
         self._peers = LogPeers(blackboard=blackboard, links=links)
         self._reach = LogReach(timeout_base_s=timeout_s)
         self._backoff = Backoff(
-            initial_s=PROBE_FIRST_S, maximum_s=PROBE_MAX_S, generator=generator
+            initial_s=PROBE_INITIAL_DELAY_S,
+            maximum_s=PROBE_MAX_DELAY_S,
+            generator=generator,
         )
         self._kept = KeptRecords()
         self._lost = asyncio.Event()
@@ -69,27 +76,34 @@
         server.register(AppendRecords, self._answer_append)
 
     async def on_start(self) -> None:
-        """Start probing whenever the log is out of reach."""
-        self.add_future(self._probe())
+        """Start the task that probes the log while it is out of reach."""
+        self.add_future(self._probe_log())
 
     async def append(self, stream: str, records: list[bytes]) -> int:
-        """Append a group and return its first offset."""
+        """Append a group of records, directly or through a peer.
+
+        Return its first offset. Raise LogUnavailableError if neither succeeds.
+        """
         if self._reach.up:
             try:
                 return await self._append_direct(stream, records)
             except LogUnavailableError:
-                self._note_failure(stream)
+                self._record_failure(stream)
         message = AppendRecords(stream=stream, records=tuple(records))
-        async for reply in self._peers.ask(message, self._peers.rank()):
+        async for reply in self._peers.call_each(message, self._peers.list_preferred()):
             if isinstance(reply, AppendReply):
                 self._kept.add_appended(stream, reply.first, records)
                 return reply.first
-        raise LogUnavailableError("neither the log nor a peer appends")
+        raise LogUnavailableError("neither the log nor a peer appended the records")
 
     async def read(self, stream: str, offset: int, *, wait_s: float) -> LogPage:
-        """Return records from an offset on."""
+        """Return records from an offset on, waiting up to `wait_s` for the first one.
+
+        Raise RecordsExpiredError if the log dropped the first one and no peer has it,
+        or if its offset is fenced, and LogUnavailableError if no host replies.
+        """
         page = await self._read(stream, offset, wait_s)
-        # Also a record that was on its way when the offset was fenced.
+        # The offset may have been fenced while the read was in progress.
         if self._kept.is_fenced(stream, offset):
             earliest = self._kept.find_first_beyond(stream)
             raise RecordsExpiredError(earliest=earliest)
@@ -100,26 +114,29 @@
             try:
                 return await self._read_direct(stream, offset, wait_s)
             except LogUnavailableError:
-                self._note_failure(stream)
+                self._record_failure(stream)
             except RecordsExpiredError as error:
-                return await self._read_expired(stream, offset, error)
+                return await self._read_dropped_records(stream, offset, error)
         page = await self._read_from_peers(stream, offset)
         self._kept.add_read(stream, page)
         if not page.records:
-            await asyncio.sleep(RELAY_POLL_S)
+            await asyncio.sleep(RELAY_POLL_INTERVAL_S)
         return page
 
-    async def _read_expired(
+    async def _read_dropped_records(
         self, stream: str, offset: int, error: RecordsExpiredError
     ) -> LogPage:
-        """Return records that the log has dropped, from whoever appended them."""
+        """Return records that the log dropped, from a host that has them."""
         page = await self.search(stream, offset)
         if page is None:
             raise error
         return page
 
     async def search(self, stream: str, offset: int) -> LogPage | None:
-        """Return records that the log dropped, from whoever appended or read them."""
+        """Return records that the log dropped, from a host that appended or read them.
+
+        Return None if no such host was found in this search.
+        """
         page = self._kept.find(stream, offset)
         if page is None:
             page = await self._search_peers(stream, offset)
@@ -129,42 +146,51 @@
         return page
 
     async def _search_peers(self, stream: str, offset: int) -> LogPage | None:
-        # Only one or two hosts hold such a record. A peer that knows of nothing newer
-        # must not end the search, and each try asks other peers of a large fleet.
+        # Only one or two hosts have such a record. So a reply without records does not
+        # end the search, and in a large fleet each search calls other peers.
         message = ReadRecords(stream=stream, offset=offset)
-        async for reply in self._peers.ask(message, self._peers.pick_next()):
+        async for reply in self._peers.call_each(
+            message, self._peers.pick_next_peers()
+        ):
             if isinstance(reply, RecordsReply) and reply.records:
                 return make_page(reply)
         return None
 
     async def is_lost(self, stream: str, offset: int) -> bool:
-        """Tell whether this host is to go on without the record at an offset."""
+        """Return whether this host may skip the record at an offset.
+
+        Every host has to reply that it lacks the record, and then fence its offset.
+        """
         if not self._reach.up:
             return False
-        if not await may_pass_over(self._peers, stream, offset):
+        if not await may_skip_record(self._peers, stream, offset):
             return False
         if not self._fence(stream, offset):
             return False
-        return await may_pass_over(self._peers, stream, offset, fence=True)
+        return await may_skip_record(self._peers, stream, offset, fence=True)
 
     def _fence(self, stream: str, offset: int) -> bool:
-        """Promise not to fold the record at an offset, unless it is known here."""
+        """Fence an offset and return whether it is fenced.
+
+        It is not if this host has the record, has folded it, or doesn't follow the
+        stream.
+        """
         status = self._blackboard.streams.get(stream)
         if status is None or status.next_offset > offset:
             return False
         return self._kept.fence(stream, offset)
 
     async def is_shared(self, stream: str, offset: int) -> bool:
-        """Tell whether another host, if one lives, has folded up to an offset."""
-        names = self._peers.rank()
+        """Return whether another host has folded up to an offset, or none is live."""
+        names = self._peers.list_preferred()
         message = ReadRecords(stream=stream, offset=offset)
-        async for reply in self._peers.ask(message, names):
+        async for reply in self._peers.call_each(message, names):
             if isinstance(reply, RecordsReply) and (reply.folded or 0) >= offset:
                 return True
         return not names
 
     async def fetch_state(self, stream: str) -> PackedState | None:
-        """Return a peer's state of a stream, or None when no peer gives it."""
+        """Return a stream's state from a peer, None if no peer returns it."""
         return await fetch_state(self._peers, stream)
 
     async def _append_direct(self, stream: str, records: list[bytes]) -> int:
@@ -172,7 +198,7 @@
         first = await self._client.append(
             stream, records, timeout_s=self._reach.timeout_s
         )
-        self._note_answer(asyncio.get_running_loop().time() - started)
+        self._record_answer(asyncio.get_running_loop().time() - started)
         self._kept.add_appended(stream, first, records)
         return first
 
@@ -182,25 +208,25 @@
             stream, offset, wait_s=wait_s, timeout_s=self._reach.timeout_s
         )
         duration_s = asyncio.get_running_loop().time() - started
-        self._note_answer(max(0.0, duration_s - wait_s))
+        self._record_answer(max(0.0, duration_s - wait_s))
         self._kept.add_read(stream, page)
         return page
 
-    def _note_answer(self, duration_s: float) -> None:
+    def _record_answer(self, duration_s: float) -> None:
         if self._reach.note_answer(duration_s):
             log_event(Event.LOG_IN_REACH, host=self._blackboard.host)
         self._blackboard.log_in_reach = True
 
-    def _note_failure(self, stream: str) -> None:
+    def _record_failure(self, stream: str) -> None:
         if self._reach.note_failure():
             log_event(Event.LOG_OUT_OF_REACH, host=self._blackboard.host)
         self._blackboard.log_in_reach = False
         self._probed = stream
         self._lost.set()
 
-    async def _probe(self) -> None:
-        # Beside the peers' answers, so that no read waits for a log that is
-        # gone. The timeout grows: a slow log must be heard in the end.
+    async def _probe_log(self) -> None:
+        # A separate task probes the log, so that no read waits for it while it is out
+        # of reach. The timeout grows, so that a slow log is reached again eventually.
         while True:
             await self._lost.wait()
             await asyncio.sleep(self._backoff.next_delay())
@@ -208,7 +234,7 @@
             try:
                 await self._read_direct(self._probed, offset, 0.0)
             except RecordsExpiredError:
-                self._note_answer(0.0)
+                self._record_answer(0.0)
             except LogUnavailableError:
                 self._reach.lengthen_timeout()
                 continue
@@ -219,7 +245,7 @@
         stale: RecordsReply | None = None
         expired: RecordsReply | None = None
         message = ReadRecords(stream=stream, offset=offset)
-        async for reply in self._peers.ask(message, self._peers.rank()):
+        async for reply in self._peers.call_each(message, self._peers.list_preferred()):
             if not isinstance(reply, RecordsReply):
                 continue
             if reply.expired:
@@ -231,7 +257,7 @@
         if expired is not None:
             raise RecordsExpiredError(earliest=expired.earliest)
         if stale is None:
-            raise LogUnavailableError("neither the log nor a peer answers")
+            raise LogUnavailableError("neither the log nor a peer returned records")
         return make_page(stale)
 
     async def _answer_read(self, message: ReadRecords) -> PeerMessage:
@@ -284,7 +310,7 @@
         first = await self._client.append(
             message.stream, list(message.records), timeout_s=self._reach.timeout_s
         )
-        # The host that asked may end before its answer arrives.
+        # The calling host may end before it receives the reply.
         self._kept.add_appended(message.stream, first, message.records)
         return AppendReply(first=first)
 
@@ -305,7 +331,7 @@
 
 
 def make_reply(page: LogPage, *, fresh: bool) -> RecordsReply:
-    """Return the reply that carries a page."""
+    """Return the reply that contains a page."""
     return RecordsReply(
         offsets=tuple(record.offset for record in page.records),
         records=tuple(record.data for record in page.records),
--- a/trefoilstage/components/peers/round_trips.py
+++ b/trefoilstage/components/peers/round_trips.py
@@ -1,21 +1,21 @@
-"""Estimate how long this host's messages wait on its own link; pure."""
+"""Estimate how long this host's messages wait on its own network link; no I/O."""
 
 from collections import deque
 from dataclasses import dataclass, field
 
-# The fastest of the last calls tells of this host's link; a slower one may have waited
-# at the peer or on the way.
+# The fastest of the last calls shows the delay on this host's link; slower calls may
+# have been delayed at the peer or elsewhere in the network.
 N_CALLS = 8
 MIN_CALLS = 4
-# Idle hosts of a large fleet make four calls a second.
+# Idle hosts of a large fleet make four calls a second, enough for MIN_CALLS.
 MAX_AGE_S = 2.0
-# A call that was given up earlier may have been given up by choice.
+# A shorter timeout may have been chosen by the caller and says nothing about the link.
 MIN_TIMEOUT_S = 0.5
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RoundTrip:
-    """Hold how long a call took, or how long it was waited for in vain."""
+    """Describe the duration of a call, or its timeout if there was no reply."""
 
     seconds: float
     at: float
@@ -24,30 +24,33 @@
 
 @dataclass(kw_only=True, slots=True)
 class RoundTrips:
-    """Hold the last calls to any peers.
+    """Record the last calls to all peers.
 
-    Calls that nobody answers count as well: left out, a link on which every call takes
-    too long would look like one of which nothing is known.
+    Calls that timed out count as well. Otherwise nothing would be known about a link on
+    which every call takes too long.
     """
 
     calls: deque[RoundTrip] = field(default_factory=lambda: deque(maxlen=N_CALLS))
 
     def note_answer(self, seconds: float, now: float) -> None:
-        """Count a call that was answered."""
+        """Record a call that got a reply after a number of seconds."""
         self.calls.append(RoundTrip(seconds=seconds, at=now, answered=True))
 
     def note_timeout(self, seconds: float, now: float) -> None:
-        """Count a call that was not answered in some time."""
+        """Record a call that got no reply within a number of seconds."""
         if seconds >= MIN_TIMEOUT_S:
             self.calls.append(RoundTrip(seconds=seconds, at=now, answered=False))
 
     def estimate(self, now: float) -> float:
-        """Return the seconds that a call takes at least, 0 if that is not known."""
+        """Return the seconds of the fastest recent call, 0 if too few are known.
+
+        Calls that timed out count with their timeout.
+        """
         recent = [call.seconds for call in self.calls if now - call.at <= MAX_AGE_S]
         return min(recent) if len(recent) >= MIN_CALLS else 0.0
 
     def estimate_answer(self, now: float) -> float:
-        """Return the seconds until an answer comes, 0 if none came of late."""
+        """Return the seconds of the fastest recent call with a reply, 0 without any."""
         recent = [
             call.seconds
             for call in self.calls
--- a/trefoilstage/components/peers/server.py
+++ b/trefoilstage/components/peers/server.py
@@ -1,4 +1,4 @@
-"""Answer the calls of other hosts."""
+"""Serve the calls of other hosts."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -18,7 +18,7 @@
 
 
 class PeerServer(Service):
-    """Accept peers' connections and hand each call to its handler."""
+    """Accept peers' connections and pass each message to the handler of its type."""
 
     def __init__(self, *, address: str, port: int, codec: Codec[Frame[Any]]) -> None:
         super().__init__()
@@ -30,13 +30,13 @@
         self._calls: set[asyncio.Task[None]] = set()
 
     def register(self, kind: type[Any], handler: Handler) -> None:
-        """Answer messages of a kind with a handler."""
+        """Register the handler for messages of a type, replacing any previous one."""
         self._handlers[kind] = handler
 
     async def on_start(self) -> None:
-        """Listen."""
+        """Start listening for connections."""
         self._server = await serve(
-            self._serve,
+            self._serve_connection,
             self.address,
             self.port,
             ping_interval=None,
@@ -52,7 +52,7 @@
             self._server.close()
             await self._server.wait_closed()
 
-    async def _serve(self, connection: ServerConnection) -> None:
+    async def _serve_connection(self, connection: ServerConnection) -> None:
         try:
             async for data in connection:
                 self._start_call(connection, data)
@@ -80,7 +80,7 @@
             return ErrorReply(detail="no such call")
         return await handler(message)
 
-    async def _take(self, message: Any) -> None:
+    async def _handle_without_reply(self, message: Any) -> None:
         try:
             await self.handle(message)
         except Exception as error:
@@ -92,14 +92,14 @@
 
     async def _answer(self, connection: ServerConnection, frame: Frame[Any]) -> None:
         if frame.reply:
-            # A peer that tells something waits for no reply.
-            await self._take(frame.body)
+            # A one-way message is marked as a reply, so its sender waits for none.
+            await self._handle_without_reply(frame.body)
             return
         try:
             body: Any = await self.handle(frame.body)
         except NotReadyError as error:
             body = ErrorReply(detail=str(error)[:200])
-        # Without an answer the peer would wait for its whole timeout.
+        # Without an error reply the peer would wait for its whole timeout.
         except Exception as error:
             log_event(
                 Event.PEER_CALL_FAILED,
--- a/trefoilstage/components/peers/snapshots.py
+++ b/trefoilstage/components/peers/snapshots.py
@@ -1,4 +1,7 @@
-"""Give peers the state of a stream, where the log has no checkpoint."""
+"""Send peers the state of a stream if the log has no checkpoint of it.
+
+A checkpoint is a stream's state, written to the log, from which a new host starts.
+"""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -16,25 +19,25 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Snapshot:
-    """Hold the state that is being handed out part by part."""
+    """Describe the state of a stream that peers are fetching in parts."""
 
     stream: str
     packed: PackedState
 
 
 class SnapshotServer:
-    """Answer peers that ask for a state; keep the last one for its parts."""
+    """Serve a stream's state to peers; keep the last one for its further parts."""
 
     def __init__(self, *, server: PeerServer, pack: PackStream) -> None:
         self._pack = pack
-        self._last: Snapshot | None = None
-        server.register(ReadState, self._answer)
+        self._last_snapshot: Snapshot | None = None
+        server.register(ReadState, self._answer_state_request)
 
-    async def _answer(self, message: ReadState) -> PeerMessage:
-        packed = await self._find(message)
+    async def _answer_state_request(self, message: ReadState) -> PeerMessage:
+        packed = await self._get_packed_state(message)
         parts = split_checkpoint(packed)
         if message.part >= len(parts):
-            raise NotReadyError("no such part")
+            raise NotReadyError("the state has fewer parts than requested")
         return StateReply(
             offset=packed.offset,
             fold_version=packed.fold_version,
@@ -43,15 +46,15 @@
             n_parts=len(parts),
         )
 
-    async def _find(self, message: ReadState) -> PackedState:
-        last = self._last
+    async def _get_packed_state(self, message: ReadState) -> PackedState:
+        last = self._last_snapshot
         if message.offset is not None:
             known = last is not None and last.stream == message.stream
             if last is None or not known or last.packed.offset != message.offset:
-                raise NotReadyError("the state has moved on")
+                raise NotReadyError("the requested state was replaced by a newer one")
             return last.packed
         packed = await self._pack(message.stream)
         if packed is None:
-            raise NotReadyError("the stream is not caught up here")
-        self._last = Snapshot(stream=message.stream, packed=packed)
+            raise NotReadyError("this host has not caught up on the stream")
+        self._last_snapshot = Snapshot(stream=message.stream, packed=packed)
         return packed
--- a/trefoilstage/components/peers/state_transfer.py
+++ b/trefoilstage/components/peers/state_transfer.py
@@ -7,8 +7,8 @@
 
 
 async def fetch_state(peers: LogPeers, stream: str) -> PackedState | None:
-    """Return a peer's state of a stream, or None when no peer gives it."""
-    for name in [*peers.rank(), *peers.pick_unheard()]:
+    """Return a stream's state from a peer, None if no peer returns it."""
+    for name in [*peers.list_preferred(), *peers.pick_unconfirmed()]:
         try:
             return await fetch_parts(peers, name, stream)
         except PeerUnavailableError:
@@ -17,7 +17,10 @@
 
 
 async def fetch_parts(peers: LogPeers, name: str, stream: str) -> PackedState:
-    """Return the state that a peer gives in parts."""
+    """Return a stream's state, fetched from one peer in parts.
+
+    Raise PeerUnavailableError if the peer does not return all parts of one state.
+    """
     first = await fetch_part(peers, name, ReadState(stream=stream))
     parts = [first.state]
     for number in range(1, min(first.n_parts, MAX_PARTS)):
@@ -34,7 +37,7 @@
     """Return one part of a peer's state."""
     reply = await peers.call(name, message)
     if not isinstance(reply, StateReply) or reply.part != message.part:
-        raise PeerUnavailableError("no state from this peer")
+        raise PeerUnavailableError("the peer did not return the requested state")
     if message.offset is not None and reply.offset != message.offset:
-        raise PeerUnavailableError("the peer's state has moved on")
+        raise PeerUnavailableError("the peer returned a part of another state")
     return reply
