--- a/tests/components/fleet/test_large_fleet.py
+++ b/tests/components/fleet/test_large_fleet.py
@@ -264,7 +264,7 @@
         self.assertEqual(len(called), N_PEERS_PER_ROUND + N_FAILED_PER_ROUND)
 
 
-class StartOfAllTest(unittest.IsolatedAsyncioTestCase):
+class FleetStartTest(unittest.IsolatedAsyncioTestCase):
     """Test the start of all hosts of a fleet together."""
 
     async def test_records_of_new_hosts_share_one_round_of_heartbeats(self) -> None:
--- a/tests/components/peers/test_link.py
+++ b/tests/components/peers/test_link.py
@@ -24,7 +24,9 @@
 class LinkTest(unittest.IsolatedAsyncioTestCase):
     """Test calls over a connection that fails."""
 
-    async def test_transport_closed_under_a_write_is_a_lost_peer(self) -> None:
+    async def test_transport_closed_during_a_write_raises_peer_unavailable(
+        self,
+    ) -> None:
         """Guard against a host that ends when a connection closes during a write.
 
         The event loop may raise RuntimeError then. The caller has to receive
--- a/tests/components/test_relay.py
+++ b/tests/components/test_relay.py
@@ -20,7 +20,9 @@
 class RelayTest(unittest.IsolatedAsyncioTestCase):
     """Test a relayed log without peers that reply."""
 
-    async def test_group_that_outlives_itself_is_read(self) -> None:
+    async def test_group_is_read_although_the_log_keeps_only_its_last_record(
+        self,
+    ) -> None:
         """Guard against a record that is dropped while its own group is appended.
 
         A log that keeps one record drops the checkpoint when it appends the change of
@@ -66,7 +68,7 @@
             await relay._read_from_peers("config", 0)
 
 
-class ExpiredTest(unittest.IsolatedAsyncioTestCase):
+class DroppedRecordTest(unittest.IsolatedAsyncioTestCase):
     """Test reading records that one host appended and the log dropped immediately."""
 
     def setUp(self) -> None:
@@ -109,11 +111,11 @@
         board = self.fleet.boards["a"]
         self.fleet.stop_replies("b", "c")
         board.declared_lost = dict.fromkeys(("b", "c"), float("inf"))
-        passed = []
+        skippable = []
         for stream in ("config", "ledger-0"):
             board.streams[stream] = StreamStatus(next_offset=1)
-            passed.append(await self.fleet.relays["a"].is_lost(stream, 1))
-        self.assertEqual(passed, [True, False])
+            skippable.append(await self.fleet.relays["a"].is_lost(stream, 1))
+        self.assertEqual(skippable, [True, False])
 
     async def test_record_is_read_from_the_one_host_that_has_it(self) -> None:
         """Guard against a peer's empty reply that ends the search for a dropped record.
--- a/tests/components/test_stalled_connects.py
+++ b/tests/components/test_stalled_connects.py
@@ -63,7 +63,7 @@
         self.session = open_session(aiohttp.TCPConnector())
         self.addAsyncCleanup(self.session.close)
 
-    async def test_prompt_is_sent_when_its_host_wakes(self) -> None:
+    async def test_prompt_is_sent_when_its_host_resumes(self) -> None:
         """Guard against a connect timeout reported for a healthy target."""
         generation = Generation(
             request="r-1",
--- a/trefoilstage/components/fleet/gossip.py
+++ b/trefoilstage/components/fleet/gossip.py
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HostTable:
-    """Give the order in which heartbeats encode the hosts."""
+    """List hosts in the order in which heartbeats encode them, with a digest."""
 
     digest: bytes = b""
     names: tuple[str, ...] = ()
--- a/trefoilstage/components/membership/controller.py
+++ b/trefoilstage/components/membership/controller.py
@@ -219,7 +219,7 @@
     A draw is a part of a budget that one host, its holder, takes; its witness accounts
     for it if the holder is lost.
     """
-    own = blackboard.incarnation
+    own_incarnation = blackboard.incarnation
     hosts = {
         entry.incarnation: entry.host for entry in blackboard.config.hosts.values()
     }
@@ -229,10 +229,10 @@
             if draw.status is not DrawStatus.OPEN:
                 # The witness may be lost as well; the hosts that rank first for the
                 # draw have to detect that both are.
-                if own in rank_by_rendezvous(name, hosts)[:N_RECOVERERS]:
+                if own_incarnation in rank_by_rendezvous(name, hosts)[:N_RECOVERERS]:
                     incarnations |= {draw.holder, draw.witness}
-            elif draw.holder == own:
+            elif draw.holder == own_incarnation:
                 incarnations.add(draw.witness)
-            elif draw.witness == own:
+            elif draw.witness == own_incarnation:
                 incarnations.add(draw.holder)
     return {hosts[item] for item in incarnations if item in hosts}
--- a/trefoilstage/components/peers/messages.py
+++ b/trefoilstage/components/peers/messages.py
@@ -67,7 +67,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ReadState:
-    """Request a part of a stream's state from a peer, of the one at `offset` if set."""
+    """Request a part of a stream's state from a peer.
+
+    If `offset` is set, the part has to belong to the state at that offset.
+    """
 
     stream: Name
     part: Tokens = 0
--- a/trefoilstage/components/peers/server.py
+++ b/trefoilstage/components/peers/server.py
@@ -69,7 +69,7 @@
                 error=str(error),
             )
             return
-        task = asyncio.create_task(self._answer(connection, frame))
+        task = asyncio.create_task(self._process_frame(connection, frame))
         self._calls.add(task)
         task.add_done_callback(self._calls.discard)
 
@@ -90,7 +90,9 @@
                 error=describe_error(error),
             )
 
-    async def _answer(self, connection: ServerConnection, frame: Frame[Any]) -> None:
+    async def _process_frame(
+        self, connection: ServerConnection, frame: Frame[Any]
+    ) -> None:
         if frame.reply:
             # A one-way message is marked as a reply, so its sender waits for none.
             await self._handle_without_reply(frame.body)
