--- a/trefoilstage/configuration/fold.py
+++ b/trefoilstage/configuration/fold.py
@@ -16,7 +16,7 @@
 from trefoilstage.const import FOLD_VERSION
 from trefoilstage.helpers.finding import Finding
 from trefoilstage.helpers.verdict import ACCEPTED, Reason, Rejected, Verdict
-from trefoilstage.ledger.fold import take_sequence
+from trefoilstage.ledger.fold import advance_sequence
 from trefoilstage.ledger.records import Checkpoint, Upgrade
 
 MAX_HISTORY = 200
@@ -86,7 +86,9 @@
     if offset < state.next_offset:
         return Rejected(reason=Reason.DUPLICATE)
     state.next_offset = offset + 1
-    rejected = take_sequence(state.sequences, envelope.incarnation, envelope.sequence)
+    rejected = advance_sequence(
+        state.sequences, envelope.incarnation, envelope.sequence
+    )
     if rejected is not None:
         return rejected
     place = Place(
--- a/trefoilstage/ledger/__init__.py
+++ b/trefoilstage/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""Fold draws, settlements and seals into balances; pure."""
+"""Compute account balances from the records of a ledger stream; without I/O."""
--- a/trefoilstage/ledger/fold.py
+++ b/trefoilstage/ledger/fold.py
@@ -1,4 +1,9 @@
-"""Fold the records of a ledger stream into one state, the same on every host."""
+"""Apply the records of a ledger stream to one state, which is equal on every host.
+
+The fold is this application of records in offset order. A draw is the share of an
+account's tokens or watts that one host, its holder, has reserved. A second host, its
+witness, acknowledges the holder's spend and seals the draw if the holder is lost.
+"""
 
 from functools import singledispatch
 
@@ -21,7 +26,7 @@
     Upgrade,
 )
 from trefoilstage.ledger.settlement import (
-    add_doubt,
+    add_doubtful_hold,
     close_draw,
     resolve_holds,
     settle_draw,
@@ -41,30 +46,33 @@
 
 
 def fold_envelope(state: LedgerState, offset: int, envelope: LedgerEnvelope) -> Verdict:
-    """Apply one record at its offset and return the verdict on it."""
+    """Apply the record at an offset and return whether it was accepted."""
     if offset < state.next_offset:
         return Rejected(reason=Reason.DUPLICATE)
     state.next_offset = offset + 1
-    rejected = take_sequence(state.sequences, envelope.incarnation, envelope.sequence)
+    rejected = advance_sequence(
+        state.sequences, envelope.incarnation, envelope.sequence
+    )
     if rejected is not None:
         return rejected
     return apply_record(envelope.record, state, envelope.incarnation, offset)
 
 
-def take_sequence(
+def advance_sequence(
     sequences: dict[str, int], incarnation: str, sequence: int
 ) -> Rejected | None:
-    """Note a writer's next record; reject a repeat and one that comes too early."""
+    """Store a writer's newest sequence; reject a repeat or a gap in its sequences."""
     last = sequences.get(incarnation, -1)
-    # An append whose answer was lost is sent again and lands twice. Without
-    # this check a draw would be granted twice.
+    # A writer repeats an append whose reply was lost, and the log may then hold
+    # the record twice. Without this check a draw would be granted twice.
     if sequence <= last:
         return Rejected(reason=Reason.DUPLICATE)
-    # The log may have dropped the beginning of a group unread. Its writer sends
-    # the whole group again, and the beginning would count as a repeat.
+    # The log may have dropped the first records of a group before any host read
+    # them. If the rest were accepted, the writer's repeat of the whole group would
+    # have its first records rejected as duplicates.
     if sequence > last + 1:
         return Rejected(reason=Reason.OUT_OF_ORDER)
-    # Re-inserting keeps the mapping in order of last use for the pruning.
+    # Re-inserting keeps the mapping in order of last use; drop_oldest relies on it.
     sequences.pop(incarnation, None)
     sequences[incarnation] = sequence
     drop_oldest(sequences, MAX_SEQUENCES)
@@ -72,7 +80,7 @@
 
 
 def skip_offset(state: LedgerState, offset: int) -> None:
-    """Pass over an offset whose bytes are no record."""
+    """Advance past an offset that holds no valid record."""
     state.next_offset = max(state.next_offset, offset + 1)
 
 
@@ -80,7 +88,7 @@
 def apply_record(
     record: object, state: LedgerState, writer: str, offset: int
 ) -> Verdict:
-    """Apply a record of one kind."""
+    """Apply a record of one kind; reject a kind without a handler."""
     return Rejected(reason=Reason.NOT_APPLICABLE)
 
 
@@ -117,8 +125,8 @@
         return Rejected(reason=Reason.NOT_HOLDER)
     if draw is not None and draw.status is not DrawStatus.OPEN:
         return Rejected(reason=Reason.DRAW_SEALED)
-    # A holder that was paused may ask for more on a draw that was sealed and
-    # closed meanwhile; opening it afresh would revive a fenced holder.
+    # A holder that was paused may ask to extend a draw that was sealed and closed
+    # in the meantime; reopening it would let a fenced holder spend again.
     if draw is None and not record.opens:
         return Rejected(reason=Reason.DRAW_CLOSED)
     granted = min(record.amount, account.free)
@@ -173,15 +181,15 @@
         return Rejected(reason=Reason.NOT_WITNESS)
     if draw.status is not DrawStatus.OPEN:
         return Rejected(reason=Reason.DRAW_SEALED)
-    before = draw.charge
+    previous_charge = draw.charge
     settle_draw(state, draw, record)
     draw.status = DrawStatus.SEALED
     draw.sealed = offset
     draw.targets = record.targets
     for request in record.opened:
-        add_doubt(state, record.draw, request)
-    state.accounts[draw.account].held += draw.charge - before
-    released = before - draw.charge
+        add_doubtful_hold(state, record.draw, request)
+    state.accounts[draw.account].held += draw.charge - previous_charge
+    released = previous_charge - draw.charge
     if not draw.doubtful:
         close_draw(state, record.draw)
     return Accepted(amount=released)
@@ -194,8 +202,9 @@
         return Rejected(reason=Reason.UNKNOWN_DRAW)
     if draw.status is not DrawStatus.SEALED:
         return Rejected(reason=Reason.NOT_APPLICABLE)
-    # Any host may write it: what is settled is the targets' word, which is the
-    # same for all, and the sealed holder can have nothing sent after it.
+    # Any host may write this record: the amounts come from the targets, which
+    # report the same to every host, and the sealed holder can no longer send
+    # requests.
     resolve_holds(state, record.draw, record.requests)
     return ACCEPTED
 
@@ -207,8 +216,9 @@
         return Rejected(reason=Reason.UNKNOWN_DRAW)
     if not draw.account.startswith(SITE_ACCOUNT_PREFIX):
         return Rejected(reason=Reason.NOT_APPLICABLE)
-    # Any host may ask the targets, for the witness may be lost with the holder.
-    # A draw opened after the fence is not covered by it: its holder may yet run.
+    # Any host may ask the targets to refuse the holder, because the witness may be
+    # lost too. The fence does not cover a draw that was opened after it: that
+    # draw's holder may still run requests.
     if record.fencing < draw.opened:
         return Rejected(reason=Reason.STALE_REVISION)
     close_draw(state, record.draw)
@@ -217,8 +227,8 @@
 
 @apply_record.register
 def _(record: Intent, state: LedgerState, writer: str, offset: int) -> Verdict:
-    present = state.intents.get(record.key)
-    if present is None:
+    intent = state.intents.get(record.key)
+    if intent is None:
         state.intents[record.key] = IntentState(
             workspace=record.workspace,
             service=record.service,
@@ -229,32 +239,32 @@
         while len(state.intents) > MAX_INTENTS:
             del state.intents[next(iter(state.intents))]
         return ACCEPTED
-    if present.body_digest != record.body_digest:
+    if intent.body_digest != record.body_digest:
         return Rejected(reason=Reason.KEY_REUSED)
     return Rejected(reason=Reason.DUPLICATE)
 
 
 @apply_record.register
 def _(record: Outcome, state: LedgerState, writer: str, offset: int) -> Verdict:
-    present = state.intents.get(record.key)
-    if present is None or present.owner != writer:
+    intent = state.intents.get(record.key)
+    if intent is None or intent.owner != writer:
         return Rejected(reason=Reason.NOT_HOLDER)
-    if present.status is not None:
+    if intent.status is not None:
         return Rejected(reason=Reason.DUPLICATE)
-    present.status = record.status
-    present.body = record.body
-    present.content_type = record.content_type
-    present.known = record.known
-    present.whole = record.whole
+    intent.status = record.status
+    intent.body = record.body
+    intent.content_type = record.content_type
+    intent.known = record.known
+    intent.whole = record.whole
     return ACCEPTED
 
 
 @apply_record.register
 def _(record: Abandon, state: LedgerState, writer: str, offset: int) -> Verdict:
-    present = state.intents.get(record.key)
-    if present is None or present.owner != writer:
+    intent = state.intents.get(record.key)
+    if intent is None or intent.owner != writer:
         return Rejected(reason=Reason.NOT_HOLDER)
-    if present.status is not None:
+    if intent.status is not None:
         return Rejected(reason=Reason.NOT_APPLICABLE)
     del state.intents[record.key]
     return ACCEPTED
@@ -273,9 +283,11 @@
     return ACCEPTED
 
 
-def find_open_draw(state: LedgerState, name: str, writer: str) -> DrawState | Rejected:
-    """Return a draw that its writer may still change."""
-    draw = state.draws.get(name)
+def find_open_draw(
+    state: LedgerState, draw_name: str, writer: str
+) -> DrawState | Rejected:
+    """Return an open draw of this writer, or why the writer must not change it."""
+    draw = state.draws.get(draw_name)
     if draw is None:
         return Rejected(reason=Reason.UNKNOWN_DRAW)
     if draw.holder != writer:
--- a/trefoilstage/ledger/records.py
+++ b/trefoilstage/ledger/records.py
@@ -1,4 +1,9 @@
-"""Define the records of a ledger stream."""
+"""Define the records of a ledger stream.
+
+A hold reserves a part of a draw for one request. A settlement reports what the requests
+of a draw spent. An intent claims the only run of a request that is not idempotent; its
+outcome is the stored result of that run. An incarnation is one run of a host's process.
+"""
 
 from dataclasses import dataclass, field
 from typing import Annotated, Literal
@@ -12,7 +17,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class BilledRequest:
-    """Bill one hold of a draw to the digest of its request's idempotency key."""
+    """Report what a request spent, billed under the digest of its idempotency key.
+
+    The number identifies the request's hold within its draw.
+    """
 
     key: Name
     tokens: Tokens
@@ -23,8 +31,8 @@
 class OpenRequest:
     """Describe a hold that may still be spent and the targets that may run it.
 
-    Targets are places in the target list of the message or record around it;
-    none means that no target's word can end the doubt.
+    Targets are indexes into the target list of the enclosing message or record. If
+    there are none, no target can confirm what was spent.
     """
 
     number: Tokens
@@ -36,7 +44,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SetLimit:
-    """Set an account's limit from an accepted configuration revision."""
+    """Set an account's limit to its value in an accepted configuration revision."""
 
     account: Name
     limit: Tokens
@@ -46,7 +54,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TopUp:
-    """Raise what an account has paid; idempotent by operation."""
+    """Add paid tokens to an account, once per operation."""
 
     account: Name
     amount: Tokens
@@ -56,7 +64,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Draw:
-    """Move tokens from an account to a holder's draw, opening it if new."""
+    """Move tokens or watts from an account to a draw, or open the draw with them."""
 
     draw: Name
     account: Name
@@ -69,7 +77,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Return:
-    """Give tokens of a draw back to its account."""
+    """Return unspent tokens or watts of a draw to its account."""
 
     draw: Name
     amount: Tokens
@@ -78,10 +86,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Settle:
-    """Report a draw's cumulative spend, its billed requests and its end.
+    """Report a draw's cumulative spend and the requests to bill, or close the draw.
 
-    The requests are those spent between the totals `before` and `spent`, in
-    the order in which they ended.
+    The requests account for the spend between the totals `before` and `spent`, in
+    the order in which they ended. A final settlement closes the draw.
     """
 
     draw: Name
@@ -94,7 +102,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Seal:
-    """End a lost holder's draw at what its witness acknowledged."""
+    """End a lost holder's draw at the spend that its witness acknowledged."""
 
     draw: Name
     before: Tokens
@@ -107,7 +115,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Resolve:
-    """Settle holds of a sealed draw at what every target says they spent."""
+    """Settle holds of a sealed draw at the spend that the targets report."""
 
     draw: Name
     requests: tuple[BilledRequest, ...]
@@ -116,7 +124,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Release:
-    """Free a lost holder's watts: its targets refuse it up to a fencing number."""
+    """Free a lost holder's watts once the targets refuse it up to a fencing number."""
 
     draw: Name
     fencing: Tokens
@@ -136,7 +144,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Outcome:
-    """Record how the run of an intent ended."""
+    """Store the result of the run that an intent claimed."""
 
     key: Name
     status: int
@@ -149,7 +157,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Abandon:
-    """Withdraw an intent that its owner has not run and never will."""
+    """Withdraw an intent whose owner has not run the request and will not run it."""
 
     key: Name
     kind: Literal["abandon"] = "abandon"
@@ -157,7 +165,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Checkpoint:
-    """Carry a part of the compressed state before an offset, so records may expire."""
+    """Store one part of the compressed state before an offset.
+
+    The log may drop the records that the state includes.
+    """
 
     offset: Tokens
     fold_version: int
@@ -169,7 +180,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Upgrade:
-    """Let records and rules of the next fold version take effect on a stream."""
+    """Switch a stream to the records and rules of the next fold version."""
 
     version: Annotated[int, Field(ge=1)]
     kind: Literal["upgrade"] = "upgrade"
@@ -194,7 +205,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LedgerEnvelope:
-    """Identify a record by its writer's incarnation and sequence."""
+    """Wrap a record with its writer's incarnation and sequence, which identify it."""
 
     incarnation: Name
     sequence: Tokens
--- a/trefoilstage/ledger/settlement.py
+++ b/trefoilstage/ledger/settlement.py
@@ -1,9 +1,13 @@
-"""Bill the requests of draws, and settle what lost holders left in doubt."""
+"""Bill the requests of draws and settle the open holds of lost holders.
+
+A hold is in doubt when its draw was sealed before the request's spend was known. It
+counts as fully spent until another run of its key is billed or the targets report it.
+"""
 
 from trefoilstage.ledger.records import BilledRequest, OpenRequest, Seal, Settle
 from trefoilstage.ledger.state import (
     DoubtfulHold,
-    DoubtfulRun,
+    DoubtfulHoldKey,
     DrawState,
     LedgerState,
 )
@@ -13,44 +17,46 @@
 
 
 def settle_draw(state: LedgerState, draw: DrawState, record: Settle | Seal) -> None:
-    """Raise an open draw's spend and bill the requests not yet counted."""
-    position = record.before
+    """Raise an open draw's spend and bill the requests that are not billed yet."""
+    cumulative_spend = record.before
     for request in record.requests:
-        position += request.tokens
-        # A settlement may come twice, late, or from the witness as well. A
-        # second billing of one run would credit tokens that were spent; the
-        # running total tells which entries were counted before.
-        if position > draw.spent:
+        cumulative_spend += request.tokens
+        # The same settlement may arrive twice, late, or from the witness too.
+        # Billing one run twice would credit tokens that were spent; the
+        # cumulative spend shows which requests were billed before.
+        if cumulative_spend > draw.spent:
             bill_request(state, draw.account, request)
     draw.spent = max(draw.spent, min(record.spent, draw.amount))
 
 
-def bill_request(state: LedgerState, name: str, request: BilledRequest) -> None:
-    """Bill a key once: the dearest of its runs, and credit the others."""
-    billed = f"{name}/{request.key}"
-    before = state.billed.get(billed, 0)
-    state.accounts[name].credit += min(before, request.tokens)
-    state.billed[billed] = max(before, request.tokens)
+def bill_request(state: LedgerState, account_name: str, request: BilledRequest) -> None:
+    """Bill a key for the most expensive of its runs, and credit the other runs."""
+    billed_key = f"{account_name}/{request.key}"
+    billed_before = state.billed.get(billed_key, 0)
+    state.accounts[account_name].credit += min(billed_before, request.tokens)
+    state.billed[billed_key] = max(billed_before, request.tokens)
     drop_oldest(state.billed, MAX_BILLED_KEYS)
-    for run in state.doubtful.get(billed, ()):
-        lower_doubt(state, run, request.tokens)
+    for hold_key in state.doubtful.get(billed_key, ()):
+        reduce_doubt(state, hold_key, request.tokens)
 
 
-def lower_doubt(state: LedgerState, run: DoubtfulRun, billed: int) -> None:
-    """Release the part of a doubtful run that another run of its key has paid."""
-    draw = state.draws[run.draw]
-    hold = draw.doubtful[run.number]
-    released = hold.doubt - min(hold.doubt, max(0, hold.tokens - billed))
+def reduce_doubt(
+    state: LedgerState, hold_key: DoubtfulHoldKey, billed_tokens: int
+) -> None:
+    """Release the part of a doubtful hold that another run of its key has paid."""
+    draw = state.draws[hold_key.draw]
+    hold = draw.doubtful[hold_key.number]
+    released = hold.doubt - min(hold.doubt, max(0, hold.tokens - billed_tokens))
     hold.doubt -= released
     draw.doubt -= released
     state.accounts[draw.account].held -= released
 
 
-def add_doubt(state: LedgerState, name: str, request: OpenRequest) -> None:
-    """Count a hold of a sealed draw as spent, less what its key has paid."""
-    draw = state.draws[name]
-    billed = f"{draw.account}/{request.key}"
-    doubt = max(0, request.tokens - state.billed.get(billed, 0))
+def add_doubtful_hold(state: LedgerState, draw_name: str, request: OpenRequest) -> None:
+    """Count a hold of a sealed draw as spent, less what its key was billed."""
+    draw = state.draws[draw_name]
+    billed_key = f"{draw.account}/{request.key}"
+    doubt = max(0, request.tokens - state.billed.get(billed_key, 0))
     draw.doubtful[request.number] = DoubtfulHold(
         key=request.key,
         tokens=request.tokens,
@@ -59,33 +65,35 @@
         targets=request.targets,
     )
     draw.doubt += doubt
-    run = DoubtfulRun(draw=name, number=request.number)
-    state.doubtful.setdefault(billed, []).append(run)
+    hold_key = DoubtfulHoldKey(draw=draw_name, number=request.number)
+    state.doubtful.setdefault(billed_key, []).append(hold_key)
 
 
-def drop_doubt(state: LedgerState, name: str, number: int) -> DoubtfulHold | None:
-    """Take a hold out of doubt and return it."""
-    draw = state.draws[name]
+def remove_doubtful_hold(
+    state: LedgerState, draw_name: str, number: int
+) -> DoubtfulHold | None:
+    """Remove a hold in doubt with its charge and return it, or None if unknown."""
+    draw = state.draws[draw_name]
     hold = draw.doubtful.pop(number, None)
     if hold is None:
         return None
     draw.doubt -= hold.doubt
     state.accounts[draw.account].held -= hold.doubt
-    billed = f"{draw.account}/{hold.key}"
-    runs = state.doubtful[billed]
-    runs.remove(DoubtfulRun(draw=name, number=number))
-    if not runs:
-        del state.doubtful[billed]
+    billed_key = f"{draw.account}/{hold.key}"
+    hold_keys = state.doubtful[billed_key]
+    hold_keys.remove(DoubtfulHoldKey(draw=draw_name, number=number))
+    if not hold_keys:
+        del state.doubtful[billed_key]
     return hold
 
 
 def resolve_holds(
-    state: LedgerState, name: str, requests: tuple[BilledRequest, ...]
+    state: LedgerState, draw_name: str, requests: tuple[BilledRequest, ...]
 ) -> None:
-    """Bill holds of a sealed draw; those not in doubt were counted before."""
-    draw = state.draws[name]
+    """Bill holds of a sealed draw, except those that are no longer in doubt."""
+    draw = state.draws[draw_name]
     for request in requests:
-        hold = drop_doubt(state, name, request.number)
+        hold = remove_doubtful_hold(state, draw_name, request.number)
         if hold is None:
             continue
         tokens = min(request.tokens, hold.tokens)
@@ -95,15 +103,15 @@
             billed = BilledRequest(key=hold.key, tokens=tokens)
             bill_request(state, draw.account, billed)
     if not draw.doubtful:
-        close_draw(state, name)
+        close_draw(state, draw_name)
 
 
-def close_draw(state: LedgerState, name: str) -> None:
-    """Take a finished draw out of the state, keeping only its spend."""
-    draw = state.draws[name]
+def close_draw(state: LedgerState, draw_name: str) -> None:
+    """Remove a finished draw from the state and keep only its spend."""
+    draw = state.draws[draw_name]
     for number in list(draw.doubtful):
-        drop_doubt(state, name, number)
-    del state.draws[name]
+        remove_doubtful_hold(state, draw_name, number)
+    del state.draws[draw_name]
     account = state.accounts[draw.account]
     account.held -= draw.charge
     account.closed_spend += draw.spent
--- a/trefoilstage/ledger/state.py
+++ b/trefoilstage/ledger/state.py
@@ -1,11 +1,11 @@
-"""Hold the state that the fold of a ledger stream yields."""
+"""Define the state that results from folding a ledger stream."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
 
 
 class DrawStatus(StrEnum):
-    """Name the stages of a draw."""
+    """Enumerate the states of a draw that is still in the ledger."""
 
     OPEN = "open"
     SEALED = "sealed"
@@ -13,7 +13,10 @@
 
 @dataclass(kw_only=True, slots=True)
 class DoubtfulHold:
-    """Hold what a lost holder may have spent on one request."""
+    """Describe a hold of a sealed draw whose spend is unknown.
+
+    The doubt is the part of its tokens that still counts as spent.
+    """
 
     key: str
     tokens: int
@@ -23,8 +26,8 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class DoubtfulRun:
-    """Name a hold that is in doubt."""
+class DoubtfulHoldKey:
+    """Identify a hold in doubt by its draw and its number there."""
 
     draw: str
     number: int
@@ -32,7 +35,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class DrawState:
-    """Hold what the stream says of one draw; amounts in tokens or watts."""
+    """Describe one draw as of the last folded record; amounts in tokens or watts."""
 
     account: str
     holder: str
@@ -48,7 +51,7 @@
 
     @property
     def charge(self) -> int:
-        """Return what the draw takes from its account."""
+        """Return the tokens or watts that the draw takes from its account."""
         if self.status is DrawStatus.OPEN:
             return self.amount
         return self.spent + self.doubt
@@ -56,7 +59,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class AccountState:
-    """Hold an account: what was paid, what is held, what was spent."""
+    """Describe an account: the tokens or watts paid, held by draws and spent."""
 
     limit: int = 0
     revision: int = -1
@@ -68,18 +71,18 @@
 
     @property
     def paid(self) -> int:
-        """Return everything that may ever be spent."""
+        """Return the total that may be spent over time, in tokens or watts."""
         return self.limit + self.topped_up
 
     @property
     def free(self) -> int:
-        """Return what no draw holds; negative after the limit was lowered."""
+        """Return what is not held or spent; may be negative after a lowered limit."""
         return self.paid + self.credit - self.held - self.closed_spend
 
 
 @dataclass(kw_only=True, slots=True)
 class IntentState:
-    """Hold the only run of a request that is not idempotent."""
+    """Describe the only run of a request that is not idempotent, and its result."""
 
     workspace: str
     service: str
@@ -95,7 +98,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class LedgerState:
-    """Hold everything a ledger stream agrees on before an offset."""
+    """Represent the state of a ledger stream before the next offset to fold."""
 
     fold_version: int = 1
     next_offset: int = 0
@@ -103,5 +106,5 @@
     draws: dict[str, DrawState] = field(default_factory=dict)
     intents: dict[str, IntentState] = field(default_factory=dict)
     billed: dict[str, int] = field(default_factory=dict)
-    doubtful: dict[str, list[DoubtfulRun]] = field(default_factory=dict)
+    doubtful: dict[str, list[DoubtfulHoldKey]] = field(default_factory=dict)
     sequences: dict[str, int] = field(default_factory=dict)
