--- a/trefoilstage/components/configuration/__init__.py
+++ b/trefoilstage/components/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Publish configuration on the log and say which version is in force."""
+"""Apply the configuration in force to the ledger streams."""
--- a/trefoilstage/components/configuration/controller.py
+++ b/trefoilstage/components/configuration/controller.py
@@ -1,4 +1,4 @@
-"""Carry the configuration in force to the ledgers."""
+"""Start the ledger streams of the configuration in force and write their limits."""
 
 from mode import Service
 
@@ -9,13 +9,13 @@
 from trefoilstage.ledger.records import SetLimit
 from trefoilstage.timer import TimerService
 
-CHECK_S = 0.1
+CHECK_INTERVAL_S = 0.1
 STAGGER_S = 0.5
 MAX_STAGGER_RANK = 10
 
 
 class ConfigurationController(Service):
-    """Start ledgers and set account limits as the configuration asks."""
+    """Start ledger streams and set account limits according to the configuration."""
 
     def __init__(
         self, *, blackboard: Blackboard, streams: Streams, timer: TimerService
@@ -32,7 +32,7 @@
     async def on_start(self) -> None:
         """Start watching the configuration."""
         self._unsubscribe = self._timer.subscribe(
-            name="configuration", interval_s=CHECK_S, callback=self._check
+            name="configuration", interval_s=CHECK_INTERVAL_S, callback=self._check
         )
 
     async def on_stop(self) -> None:
@@ -49,25 +49,29 @@
             self._revision_at = self._timer.now()
             await self._streams.start_ledgers()
             log_event(Event.CONFIG_IN_FORCE, revision=revision)
-        if self._synced != revision and self._is_turn() and self._is_settled():
-            self._sync_limits()
+        if (
+            self._synced != revision
+            and self._is_own_turn()
+            and self._can_write_limits()
+        ):
+            self._write_limits()
 
-    def _is_turn(self) -> bool:
-        # All hosts see the change at once. One writes the limits, and the
-        # others find nothing to do unless that one is gone.
+    def _is_own_turn(self) -> bool:
+        # All hosts see a change at the same time. The host of rank 0 writes the
+        # limits; the others write them only if it has not done so by their turn.
         rank = self._streams.rank_writer(f"limits@{self._revision}")
         delay_s = min(rank, MAX_STAGGER_RANK) * STAGGER_S
         return self._timer.now() - self._revision_at >= delay_s
 
-    def _is_settled(self) -> bool:
+    def _can_write_limits(self) -> bool:
         self._tickets = [ticket for ticket in self._tickets if not ticket.future.done()]
         return not self._tickets and self._streams.is_caught_up()
 
-    def _sync_limits(self) -> None:
+    def _write_limits(self) -> None:
         for account, wanted in self._blackboard.config.limits.items():
             number = self._streams.pick_number(account)
-            present = self._blackboard.ledgers[number].accounts.get(account)
-            if present is not None and present.revision >= wanted.revision:
+            account_state = self._blackboard.ledgers[number].accounts.get(account)
+            if account_state is not None and account_state.revision >= wanted.revision:
                 continue
             record = SetLimit(
                 account=account, limit=wanted.limit, revision=wanted.revision
--- a/trefoilstage/components/log_client/folds.py
+++ b/trefoilstage/components/log_client/folds.py
@@ -14,7 +14,7 @@
 )
 from trefoilstage.configuration.fold import (
     ConfigState,
-    find_operation,
+    find_operation_verdict,
     fold_config_envelope,
 )
 from trefoilstage.configuration.incremental import IncrementalMerger
@@ -163,7 +163,7 @@
     def judge_restored(self, incarnation: str, record: Any) -> Verdict:
         """Return the verdict that a restored state shows on a record of ours."""
         if isinstance(record, Publish | Remove):
-            verdict = find_operation(self.state, record.operation)
+            verdict = find_operation_verdict(self.state, record.operation)
             return verdict or Rejected(reason=Reason.NOT_READY)
         return ACCEPTED
 
--- a/trefoilstage/configuration/__init__.py
+++ b/trefoilstage/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Merge, check and fold the operators' configuration; pure."""
+"""Merge, validate and fold the operators' configuration files; without I/O."""
--- a/trefoilstage/configuration/fold.py
+++ b/trefoilstage/configuration/fold.py
@@ -1,4 +1,8 @@
-"""Fold the configuration stream into one state, the same on every host."""
+"""Apply the records of the configuration stream to a state, equal on every host.
+
+The state includes the files in force, the configuration merged from them, the limits
+that follow from it, the known hosts and a history of the operators' changes.
+"""
 
 from dataclasses import dataclass, field, replace
 from functools import singledispatch
@@ -21,13 +25,13 @@
 
 MAX_HISTORY = 200
 MAX_FINDINGS = 20
-MAX_FINDING = 300
+MAX_FINDING_CHARS = 300
 NEW_FILE = -1
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class FileState:
-    """Hold a file in force and the offset that put it there."""
+    """Describe a file in force; its revision is the offset of its last change."""
 
     content: str
     revision: int
@@ -35,7 +39,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HistoryEntry:
-    """Hold what became of one change, for operators."""
+    """Describe the outcome of one change, as shown to operators."""
 
     offset: int
     operation: str
@@ -50,7 +54,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HostEntry:
-    """Hold a host's current incarnation and its addresses."""
+    """Describe a host's current incarnation and its addresses."""
 
     host: str
     incarnation: str
@@ -63,7 +67,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class ConfigState:
-    """Hold everything the configuration stream agrees on before an offset."""
+    """Represent the configuration stream's state before the next offset to fold."""
 
     fold_version: int = FOLD_VERSION
     next_offset: int = 0
@@ -82,7 +86,10 @@
     envelope: ConfigEnvelope,
     merger: IncrementalMerger | None = None,
 ) -> Verdict:
-    """Apply one record at its offset; a merger only saves time."""
+    """Apply the record at an offset and return the verdict.
+
+    A merger kept between calls saves time and does not affect the verdict.
+    """
     if offset < state.next_offset:
         return Rejected(reason=Reason.DUPLICATE)
     state.next_offset = offset + 1
@@ -91,17 +98,17 @@
     )
     if rejected is not None:
         return rejected
-    place = Place(
+    context = RecordContext(
         writer=envelope.incarnation,
         offset=offset,
         merger=merger or IncrementalMerger(),
     )
-    return apply_config(envelope.record, state, place)
+    return apply_config(envelope.record, state, context)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Place:
-    """Say who wrote a record and where it lies."""
+class RecordContext:
+    """Describe a record's writer and offset, and the merger to use."""
 
     writer: str
     offset: int
@@ -109,46 +116,46 @@
 
 
 @singledispatch
-def apply_config(record: object, state: ConfigState, place: Place) -> Verdict:
-    """Apply a record of one kind."""
+def apply_config(record: object, state: ConfigState, context: RecordContext) -> Verdict:
+    """Apply a record of one kind; reject a kind without a handler."""
     return Rejected(reason=Reason.NOT_APPLICABLE)
 
 
 @apply_config.register
-def _(record: Checkpoint, state: ConfigState, place: Place) -> Verdict:
+def _(record: Checkpoint, state: ConfigState, context: RecordContext) -> Verdict:
     return ACCEPTED
 
 
 @apply_config.register
-def _(record: Publish, state: ConfigState, place: Place) -> Verdict:
+def _(record: Publish, state: ConfigState, context: RecordContext) -> Verdict:
     files = dict(state.files)
-    files[record.name] = FileState(content=record.content, revision=place.offset)
-    return change_files(record, "publish", state, files, place)
+    files[record.name] = FileState(content=record.content, revision=context.offset)
+    return apply_file_change(record, "publish", state, files, context)
 
 
 @apply_config.register
-def _(record: Remove, state: ConfigState, place: Place) -> Verdict:
+def _(record: Remove, state: ConfigState, context: RecordContext) -> Verdict:
     files = dict(state.files)
     files.pop(record.name, None)
-    return change_files(record, "remove", state, files, place)
+    return apply_file_change(record, "remove", state, files, context)
 
 
 @apply_config.register
-def _(record: HostUp, state: ConfigState, place: Place) -> Verdict:
+def _(record: HostUp, state: ConfigState, context: RecordContext) -> Verdict:
     state.hosts[record.host] = HostEntry(
         host=record.host,
-        incarnation=place.writer,
+        incarnation=context.writer,
         data_center=record.data_center,
         caller_url=record.caller_url,
         operator_url=record.operator_url,
         peer_url=record.peer_url,
-        offset=place.offset,
+        offset=context.offset,
     )
     return ACCEPTED
 
 
 @apply_config.register
-def _(record: HostDown, state: ConfigState, place: Place) -> Verdict:
+def _(record: HostDown, state: ConfigState, context: RecordContext) -> Verdict:
     for name, entry in list(state.hosts.items()):
         if entry.incarnation == record.incarnation:
             del state.hosts[name]
@@ -156,29 +163,32 @@
 
 
 @apply_config.register
-def _(record: Upgrade, state: ConfigState, place: Place) -> Verdict:
+def _(record: Upgrade, state: ConfigState, context: RecordContext) -> Verdict:
     if record.version != state.fold_version + 1:
         return Rejected(reason=Reason.STALE_REVISION)
     state.fold_version = record.version
     return ACCEPTED
 
 
-def change_files(
+def apply_file_change(
     record: Publish | Remove,
     action: str,
     state: ConfigState,
     files: dict[str, FileState],
-    place: Place,
+    context: RecordContext,
 ) -> Verdict:
-    """Accept a change of files if its base is current and the merge is valid."""
-    known = find_operation(state, record.operation)
-    if known is not None:
-        return known
-    verdict = judge_change(record, action, state, files, place.merger)
+    """Accept a change if its base revision is current and the merge is valid.
+
+    A repeated operation gets the verdict that it got before.
+    """
+    earlier_verdict = find_operation_verdict(state, record.operation)
+    if earlier_verdict is not None:
+        return earlier_verdict
+    verdict = validate_change(record, action, state, files, context.merger)
     accepted = not isinstance(verdict, Rejected)
     state.history.append(
         HistoryEntry(
-            offset=place.offset,
+            offset=context.offset,
             operation=record.operation,
             action=action,
             name=record.name,
@@ -193,22 +203,22 @@
     if isinstance(verdict, Rejected):
         return verdict
     state.files = files
-    state.revision = place.offset
-    update_limits(state.limits, state.configuration, verdict, place.offset)
+    state.revision = context.offset
+    update_limits(state.limits, state.configuration, verdict, context.offset)
     state.configuration = verdict
     return ACCEPTED
 
 
-def find_operation(state: ConfigState, operation: str) -> Verdict | None:
-    """Return the verdict that an operation got, if it is still remembered."""
+def find_operation_verdict(state: ConfigState, operation: str) -> Verdict | None:
+    """Return an operation's verdict, or None if the history does not include it."""
     for entry in reversed(state.history):
         if entry.operation == operation:
-            return judge_history(entry)
+            return get_entry_verdict(entry)
     return None
 
 
-def judge_history(entry: HistoryEntry) -> Verdict:
-    """Return the verdict that an operation already got."""
+def get_entry_verdict(entry: HistoryEntry) -> Verdict:
+    """Return the verdict that a history entry records."""
     if entry.accepted:
         return ACCEPTED
     return Rejected(
@@ -216,19 +226,19 @@
     )
 
 
-def judge_change(
+def validate_change(
     record: Publish | Remove,
     action: str,
     state: ConfigState,
     files: dict[str, FileState],
     merger: IncrementalMerger,
 ) -> Configuration | Rejected:
-    """Return the configuration that a change yields, or why it is rejected."""
+    """Return the configuration that results from a change, or its rejection."""
     current = state.files.get(record.name)
     revision = current.revision if current else NEW_FILE
-    # Two operators edit the same file at once. Without the base the later
-    # append would wipe out the earlier one unseen; with it one of them is
-    # told of the conflict and looks again.
+    # Two operators may edit the same file at the same time. Without the check of
+    # the base revision the later change would silently overwrite the earlier one;
+    # with it, the later operator receives a conflict and can review the file.
     if record.base_revision != revision:
         detail = f"{record.name} is at revision {revision}, not {record.base_revision}"
         return Rejected(reason=Reason.CONFLICT, detail=detail)
@@ -243,20 +253,20 @@
         detail = f"{len(result.findings)} findings in the merged files"
         findings = limit_findings(result.findings)
         return Rejected(reason=Reason.INVALID, detail=detail, findings=findings)
-    before = state.configuration.fleet.ledger_streams
-    if state.files and result.configuration.fleet.ledger_streams != before:
+    n_streams_before = state.configuration.fleet.ledger_streams
+    if state.files and result.configuration.fleet.ledger_streams != n_streams_before:
         detail = "fleet.ledger_streams can't change once files are in force"
         return Rejected(reason=Reason.INVALID, detail=detail)
     return result.configuration
 
 
 def limit_findings(findings: tuple[Finding, ...]) -> tuple[Finding, ...]:
-    """Return the first findings, cut to what the history keeps of each."""
+    """Return the first findings, each truncated to the size kept in the history."""
     return tuple(
         replace(
             finding,
-            key=finding.key[:MAX_FINDING],
-            message=finding.message[:MAX_FINDING],
+            key=finding.key[:MAX_FINDING_CHARS],
+            message=finding.message[:MAX_FINDING_CHARS],
         )
         for finding in findings[:MAX_FINDINGS]
     )
--- a/trefoilstage/configuration/incremental.py
+++ b/trefoilstage/configuration/incremental.py
@@ -1,7 +1,8 @@
-"""Merge a change without parsing and checking the files that it leaves alone.
+"""Merge a change without parsing and validating the files that it does not touch.
 
-The verdict must not depend on what a host has at hand. So the quick way yields
-exactly what the whole merge yields, findings included, or leaves it to decide.
+The verdict must be the same on every host, whatever a host has cached. Therefore the
+incremental merge returns exactly the result of the full merge, findings included, or
+falls back to the full merge.
 """
 
 from collections.abc import Iterable, Mapping
@@ -15,11 +16,11 @@
     MergedTables,
     MergeResult,
     check_references,
-    make_path,
+    convert_location,
+    locate_finding,
     merge_files,
     merge_tables,
     parse_file,
-    place_finding,
     sort_findings,
 )
 from trefoilstage.configuration.schema import (
@@ -45,9 +46,9 @@
 }
 
 FLEET_SECTION = "fleet"
-PARSED_FILES = 16
+MAX_CACHED_FILES = 16
 
-Entry = tuple[str, str]
+EntryKey = tuple[str, str]
 Tables = dict[str, Any]
 
 
@@ -56,121 +57,138 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Fault:
-    """Hold a fault at its path, before its file and line are looked up."""
+class EntryIssue:
+    """Describe a validation failure by its path, before its file and line are known."""
 
     path: tuple[str, ...]
     message: str
 
 
 @dataclass(kw_only=True, slots=True)
-class Change:
-    """Hold the entries that a change touches and the files that set them."""
+class FileChange:
+    """Describe the entries that a change touches and the files that set them."""
 
-    touched: set[Entry] = field(default_factory=set)
-    parsed: dict[str, Tables] = field(default_factory=dict)
+    entries: set[EntryKey] = field(default_factory=set)
+    tables_by_file: dict[str, Tables] = field(default_factory=dict)
 
 
 @dataclass(kw_only=True, slots=True)
 class IncrementalMerger:
-    """Remember which files set each entry, so a change costs its own entries."""
+    """Index which files set each entry, so that a merge reads only changed entries."""
 
-    _files: dict[str, str] = field(default_factory=dict)
-    _setters: dict[Entry, tuple[str, ...]] = field(default_factory=dict)
-    _irregular: set[str] = field(default_factory=set)
+    _indexed_files: dict[str, str] = field(default_factory=dict)
+    _files_by_entry: dict[EntryKey, tuple[str, ...]] = field(default_factory=dict)
+    _unsupported_files: set[str] = field(default_factory=set)
 
     def merge(
         self,
         before: Mapping[str, str],
         after: Mapping[str, str],
-        present: Configuration,
+        current: Configuration,
     ) -> MergeResult:
-        """Return what merge_files(after) returns, given what is in force before."""
-        self._follow(before)
+        """Return the result of merge_files(after).
+
+        The files in force are `before`; their configuration is `current`.
+        """
+        self._update_index(before)
         change = self._read_change(after)
         if change is None:
             return merge_files(after)
-        quick = apply_change(present, change)
-        if isinstance(quick, Configuration):
-            return MergeResult(configuration=quick)
-        if quick is None:
+        result = apply_change(current, change)
+        if isinstance(result, Configuration):
+            return MergeResult(configuration=result)
+        if result is None:
             return merge_files(after)
         return MergeResult(
-            configuration=None, findings=self._place(quick, change, after)
+            configuration=None, findings=self._locate_issues(result, change, after)
         )
 
     def warm_up(self, files: Mapping[str, str], n_files: int) -> None:
-        """Look at a few files ahead of the first change after a restart."""
-        self._follow(files, n_files)
-
-    def _follow(self, files: Mapping[str, str], n_files: int | None = None) -> None:
-        for name in [name for name in self._files if name not in files]:
-            self._forget(name)
-        new = [name for name in files if self._files.get(name) != files[name]]
-        for name in new[:n_files]:
+        """Index up to n_files files, ahead of the first change after a restart."""
+        self._update_index(files, n_files)
+
+    def _update_index(
+        self, files: Mapping[str, str], n_files: int | None = None
+    ) -> None:
+        for name in [name for name in self._indexed_files if name not in files]:
+            self._remove_from_index(name)
+        outdated = [
+            name for name in files if self._indexed_files.get(name) != files[name]
+        ]
+        for name in outdated[:n_files]:
             content = files[name]
-            self._forget(name)
-            self._files[name] = content
+            self._remove_from_index(name)
+            self._indexed_files[name] = content
             tables = parse_entries(name, content)
             if tables is None:
-                self._irregular.add(name)
+                self._unsupported_files.add(name)
                 continue
             for entry in list_entries(tables):
-                setters = self._setters.get(entry, ())
-                self._setters[entry] = tuple(sorted((*setters, name)))
+                files_of_entry = self._files_by_entry.get(entry, ())
+                self._files_by_entry[entry] = tuple(sorted((*files_of_entry, name)))
 
-    def _forget(self, name: str) -> None:
-        content = self._files.pop(name, None)
-        self._irregular.discard(name)
+    def _remove_from_index(self, name: str) -> None:
+        content = self._indexed_files.pop(name, None)
+        self._unsupported_files.discard(name)
         tables = parse_entries(name, content) if content is not None else None
         for entry in list_entries(tables or {}):
-            rest = tuple(item for item in self._setters[entry] if item != name)
-            if rest:
-                self._setters[entry] = rest
+            remaining = tuple(
+                item for item in self._files_by_entry[entry] if item != name
+            )
+            if remaining:
+                self._files_by_entry[entry] = remaining
             else:
-                del self._setters[entry]
+                del self._files_by_entry[entry]
 
-    def _read_change(self, after: Mapping[str, str]) -> Change | None:
+    def _read_change(self, after: Mapping[str, str]) -> FileChange | None:
         changed = [
             name
-            for name in after.keys() | self._files.keys()
-            if after.get(name) != self._files.get(name)
+            for name in after.keys() | self._indexed_files.keys()
+            if after.get(name) != self._indexed_files.get(name)
         ]
-        change = Change()
-        if self._irregular:
+        change = FileChange()
+        if self._unsupported_files:
             return None
         for name in changed:
-            for content in (self._files.get(name), after.get(name)):
+            for content in (self._indexed_files.get(name), after.get(name)):
                 tables = parse_entries(name, content) if content is not None else {}
                 if tables is None or FLEET_SECTION in tables:
                     return None
-                change.touched.update(list_entries(tables))
-                change.parsed[name] = tables
-        for name in self._list_setters(change.touched, set(changed)):
-            change.parsed[name] = parse_entries(name, self._files[name]) or {}
+                change.entries.update(list_entries(tables))
+                change.tables_by_file[name] = tables
+        for name in self._list_other_files(change.entries, set(changed)):
+            change.tables_by_file[name] = (
+                parse_entries(name, self._indexed_files[name]) or {}
+            )
         return change
 
-    def _place(
-        self, faults: Iterable[Fault], change: Change, after: Mapping[str, str]
+    def _locate_issues(
+        self, issues: Iterable[EntryIssue], change: FileChange, after: Mapping[str, str]
     ) -> tuple[Finding, ...]:
         findings = []
-        for fault in faults:
-            entry = (fault.path[0], fault.path[1])
-            parsed = dict(change.parsed)
-            for name in self._list_setters([entry], set(parsed)):
-                parsed[name] = parse_entries(name, self._files[name]) or {}
-            merged = merge_entry(entry, parsed, [])
-            findings.append(place_finding(fault.path, fault.message, merged, after))
+        for issue in issues:
+            entry = (issue.path[0], issue.path[1])
+            tables_by_file = dict(change.tables_by_file)
+            for name in self._list_other_files([entry], set(tables_by_file)):
+                tables_by_file[name] = (
+                    parse_entries(name, self._indexed_files[name]) or {}
+                )
+            merged = merge_entry(entry, tables_by_file, [])
+            findings.append(locate_finding(issue.path, issue.message, merged, after))
         return sort_findings(findings)
 
-    def _list_setters(self, touched: Iterable[Entry], known: set[str]) -> set[str]:
-        names = {name for entry in touched for name in self._setters.get(entry, ())}
-        return names - known
+    def _list_other_files(
+        self, entries: Iterable[EntryKey], listed: set[str]
+    ) -> set[str]:
+        names = {
+            name for entry in entries for name in self._files_by_entry.get(entry, ())
+        }
+        return names - listed
 
 
-@lru_cache(maxsize=PARSED_FILES)
+@lru_cache(maxsize=MAX_CACHED_FILES)
 def parse_entries(name: str, content: str) -> Tables | None:
-    """Return a file's tables if it sets nothing but entries of known sections."""
+    """Return a file's tables, or None if it is invalid or has unknown sections."""
     findings: list[Any] = []
     tables = parse_file(name, content, findings)
     if findings:
@@ -187,22 +205,22 @@
     return tables
 
 
-def list_entries(tables: Tables) -> list[Entry]:
-    """Return the section and name of each entry."""
+def list_entries(tables: Tables) -> list[EntryKey]:
+    """Return the section and name of each entry outside the fleet section."""
     sections = [section for section in tables if section != FLEET_SECTION]
     return [(section, name) for section in sections for name in tables[section]]
 
 
 def apply_change(
-    present: Configuration, change: Change
-) -> Configuration | list[Fault] | None:
-    """Return the changed configuration, its faults, or None when in doubt."""
-    sections = {name: dict(getattr(present, name)) for name in ENTRY_MODELS}
-    faults: list[Fault] = []
-    for entry in sorted(change.touched):
+    current: Configuration, change: FileChange
+) -> Configuration | list[EntryIssue] | None:
+    """Return the new configuration or its issues; None if a full merge is needed."""
+    sections = {name: dict(getattr(current, name)) for name in ENTRY_MODELS}
+    issues: list[EntryIssue] = []
+    for entry in sorted(change.entries):
         section, name = entry
         findings: list[Finding] = []
-        merged = merge_entry(entry, change.parsed, findings)
+        merged = merge_entry(entry, change.tables_by_file, findings)
         value = merged.tables.get(section, {}).get(name)
         if findings or not is_identifier(name):
             return None
@@ -212,48 +230,48 @@
         try:
             sections[section][name] = ENTRY_MODELS[section].model_validate(value)
         except ValidationError as error:
-            faults.extend(list_faults(entry, error))
-    if faults:
-        return faults
-    after = present.model_copy(update=sections)
-    if needs_reference_check(present, after, change):
-        faults = [
-            Fault(path=path, message=message)
+            issues.extend(list_entry_issues(entry, error))
+    if issues:
+        return issues
+    after = current.model_copy(update=sections)
+    if needs_reference_check(current, after, change):
+        issues = [
+            EntryIssue(path=path, message=message)
             for path, message in check_references(after)
         ]
-    return faults or after
+    return issues or after
 
 
 def needs_reference_check(
-    present: Configuration, after: Configuration, change: Change
+    current: Configuration, after: Configuration, change: FileChange
 ) -> bool:
-    """Tell whether a change can leave a name that leads nowhere."""
-    # Most changes set a budget anew, and looking at 12,000 workspaces for
-    # each would stall the loop on every host at the same moment.
-    if any(section in REFERRING_SECTIONS for section, _ in change.touched):
+    """Return whether a change can leave a reference to a missing entry."""
+    # Most changes only set a budget's size. Checking 12,000 workspaces for each of
+    # them would block the event loop on all hosts at the same time.
+    if any(section in REFERRING_SECTIONS for section, _ in change.entries):
         return True
     return any(
-        getattr(present, section).keys() - getattr(after, section).keys()
+        getattr(current, section).keys() - getattr(after, section).keys()
         for section in REFERRED_SECTIONS
     )
 
 
-def list_faults(entry: Entry, error: ValidationError) -> list[Fault]:
-    """Return the faults in one entry."""
+def list_entry_issues(entry: EntryKey, error: ValidationError) -> list[EntryIssue]:
+    """Return the issues that a validation error lists for one entry."""
     return [
-        Fault(path=(*entry, *make_path(item["loc"])), message=item["msg"])
+        EntryIssue(path=(*entry, *convert_location(item["loc"])), message=item["msg"])
         for item in error.errors(include_url=False, include_context=False)
     ]
 
 
 def merge_entry(
-    entry: Entry, parsed: Mapping[str, Tables], findings: list[Finding]
+    entry: EntryKey, tables_by_file: Mapping[str, Tables], findings: list[Finding]
 ) -> MergedTables:
-    """Return the tables that hold one entry as the files set it in name order."""
+    """Return the tables of one entry, merged from its files in name order."""
     section, name = entry
     merged = MergedTables()
-    for file in sorted(parsed):
-        entries = parsed[file].get(section, {})
+    for file in sorted(tables_by_file):
+        entries = tables_by_file[file].get(section, {})
         if name in entries:
             tables = {section: {name: entries[name]}}
             merge_tables(merged, tables, (), file, findings)
--- a/trefoilstage/configuration/merge.py
+++ b/trefoilstage/configuration/merge.py
@@ -1,4 +1,7 @@
-"""Merge configuration files in name order and collect every finding."""
+"""Merge configuration files in name order and collect all findings.
+
+A finding is an error for the operator, located at a file, line and key.
+"""
 
 import tomllib
 from collections.abc import Iterable, Iterator, Mapping
@@ -16,7 +19,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class MergeResult:
-    """Hold the configuration, or the findings that keep it from being one."""
+    """Represent a valid configuration, or the findings that make it invalid."""
 
     configuration: Configuration | None
     findings: tuple[Finding, ...] = ()
@@ -24,14 +27,14 @@
 
 @dataclass(kw_only=True, slots=True)
 class MergedTables:
-    """Hold the merged tables and the file that set each key last."""
+    """Represent the merged tables and the file that last set each key."""
 
     tables: dict[str, Any] = field(default_factory=dict)
     origins: dict[tuple[str, ...], str] = field(default_factory=dict)
 
 
 def merge_files(files: Mapping[str, str]) -> MergeResult:
-    """Merge files, a later name over an earlier one, and validate the result."""
+    """Merge files in name order, later files overriding earlier ones, and validate."""
     merged = MergedTables()
     findings: list[Finding] = []
     for name in sorted(files):
@@ -42,10 +45,10 @@
     try:
         configuration = Configuration.model_validate(merged.tables)
     except ValidationError as error:
-        found = sort_findings(place_errors(error, merged, files))
+        found = sort_findings(locate_errors(error, merged, files))
         return MergeResult(configuration=None, findings=found)
     found = sort_findings(
-        place_finding(path, message, merged, files)
+        locate_finding(path, message, merged, files)
         for path, message in check_references(configuration)
     )
     if found:
@@ -54,14 +57,14 @@
 
 
 def parse_file(name: str, text: str, findings: list[Finding]) -> dict[str, Any]:
-    """Return a file's tables, or none after noting the finding."""
+    """Return a file's tables, or an empty dict after adding a finding."""
     if len(text.encode()) > MAX_FILE_BYTES:
         findings.append(Finding(file=name, line=1, key="", message="file too large"))
         return {}
     try:
         return tomllib.loads(text)
-    # A number of thousands of digits raises a plain ValueError, not a decode
-    # error; uncaught, one such file would end every host that folds it.
+    # A number with thousands of digits raises a plain ValueError instead of a
+    # decode error; if uncaught, it would crash every host that folds the file.
     except ValueError as error:
         line = find_error_line(str(error))
         findings.append(Finding(file=name, line=line, key="", message=str(error)))
@@ -71,7 +74,7 @@
 
 
 def find_error_line(message: str) -> int:
-    """Return the line that a TOML error names, or 1."""
+    """Return the line number in a TOML error message, or 1."""
     words = message.replace(",", " ").replace(")", " ").split()
     if "line" not in words:
         return 1
@@ -86,82 +89,82 @@
     name: str,
     findings: list[Finding],
 ) -> None:
-    """Lay the tables of one file over what earlier files gave."""
-    # The limit is the same on every host, where the interpreter's own one
-    # depends on how deep the call already is.
+    """Merge the tables of one file over those of earlier files."""
+    # This limit is the same on every host, whereas the interpreter's recursion
+    # limit depends on how deep the call stack already is.
     if len(path) > MAX_DEPTH:
         key = ".".join(path)
         findings.append(Finding(file=name, line=1, key=key, message="nested too deep"))
         return
-    place = merged.tables
+    target_table = merged.tables
     for part in path:
-        place = place[part]
+        target_table = target_table[part]
     for key, value in tables.items():
         merged.origins[(*path, key)] = name
-        if isinstance(value, dict) and isinstance(place.get(key, {}), dict):
-            place.setdefault(key, {})
+        if isinstance(value, dict) and isinstance(target_table.get(key, {}), dict):
+            target_table.setdefault(key, {})
             merge_tables(merged, value, (*path, key), name, findings)
         else:
-            place[key] = value
+            target_table[key] = value
 
 
-def place_errors(
+def locate_errors(
     error: ValidationError, merged: MergedTables, files: Mapping[str, str]
 ) -> Iterator[Finding]:
     """Yield a finding for each validation error."""
     for item in error.errors(include_url=False, include_context=False):
-        yield place_finding(make_path(item["loc"]), item["msg"], merged, files)
+        yield locate_finding(convert_location(item["loc"]), item["msg"], merged, files)
 
 
-def make_path(location: tuple[int | str, ...]) -> tuple[str, ...]:
-    """Return the keys of an error's location."""
+def convert_location(location: tuple[int | str, ...]) -> tuple[str, ...]:
+    """Return the key path of a validation error's location."""
     return tuple(str(part) for part in location if part != "[key]")
 
 
 def sort_findings(findings: Iterable[Finding]) -> tuple[Finding, ...]:
-    """Return findings in an order that every host agrees on."""
+    """Return findings sorted in the same order on every host."""
 
-    def place(finding: Finding) -> tuple[str, int, str, str]:
+    def get_sort_key(finding: Finding) -> tuple[str, int, str, str]:
         return finding.file, finding.line, finding.key, finding.message
 
-    return tuple(sorted(findings, key=place))
+    return tuple(sorted(findings, key=get_sort_key))
 
 
-def place_finding(
+def locate_finding(
     path: tuple[str, ...],
     message: str,
     merged: MergedTables,
     files: Mapping[str, str],
 ) -> Finding:
-    """Return a finding at the file and line that set a key last."""
-    known = path
-    while known and known not in merged.origins:
-        known = known[:-1]
-    name = merged.origins.get(known, "")
-    line = find_key_line(files.get(name, ""), known)
+    """Return a finding located at the file and line that last set a key."""
+    known_path = path
+    while known_path and known_path not in merged.origins:
+        known_path = known_path[:-1]
+    name = merged.origins.get(known_path, "")
+    line = find_key_line(files.get(name, ""), known_path)
     return Finding(file=name, line=line, key=".".join(path), message=message)
 
 
 def find_key_line(text: str, path: tuple[str, ...]) -> int:
-    """Return the line on which a key or its table is set, or 1."""
+    """Return the line that sets a key or its closest enclosing table, or 1."""
     prefix: tuple[str, ...] = ()
-    best = 1
+    best_line = 1
     best_depth = 0
     for number, raw in enumerate(text.splitlines(), start=1):
         line = raw.strip()
         if line.startswith("["):
             head = line.strip("[]").split("#")[0].strip(" ]")
             prefix = split_key(head)
-            here = prefix
+            key_path = prefix
         elif "=" in line and not line.startswith("#"):
-            here = prefix + split_key(line.split("=", 1)[0])
+            key_path = prefix + split_key(line.split("=", 1)[0])
         else:
             continue
-        depth = len(here)
-        if here == path[:depth] and depth > best_depth:
-            best = number
+        depth = len(key_path)
+        if key_path == path[:depth] and depth > best_depth:
+            best_line = number
             best_depth = depth
-    return best
+    return best_line
 
 
 def split_key(text: str) -> tuple[str, ...]:
@@ -172,7 +175,7 @@
 def check_references(
     configuration: Configuration,
 ) -> Iterator[tuple[tuple[str, ...], str]]:
-    """Yield the path and message of each name that leads nowhere."""
+    """Yield the path and message of each missing reference or key used twice."""
     owners: dict[str, str] = {}
     for name, workspace in sorted(configuration.workspaces.items()):
         if workspace.budget not in configuration.budgets:
--- a/trefoilstage/configuration/records.py
+++ b/trefoilstage/configuration/records.py
@@ -1,4 +1,8 @@
-"""Define the records of the configuration stream."""
+"""Define the records of the configuration stream.
+
+An operation is an id that the operator's client sends, so that a repeated change is
+applied once.
+"""
 
 from dataclasses import dataclass
 from typing import Annotated, Literal
@@ -16,7 +20,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Publish:
-    """Publish a file over the revision its author saw; -1 for a new file."""
+    """Replace a file at the revision that its author edited, or -1 for a new file."""
 
     operation: Name
     name: FileName
@@ -28,7 +32,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Remove:
-    """Remove a file at the revision its author saw."""
+    """Remove a file at the revision that its author read."""
 
     operation: Name
     name: FileName
@@ -51,7 +55,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HostDown:
-    """Announce that an incarnation has left for good."""
+    """Announce that an incarnation has left permanently."""
 
     incarnation: Name
     kind: Literal["host_down"] = "host_down"
@@ -62,7 +66,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ConfigEnvelope:
-    """Identify a record by its writer's incarnation and sequence."""
+    """Wrap a record with its writer's incarnation and sequence, which identify it."""
 
     incarnation: Name
     sequence: Annotated[int, Field(ge=0, le=1 << 53)]
--- a/trefoilstage/configuration/schema.py
+++ b/trefoilstage/configuration/schema.py
@@ -1,4 +1,4 @@
-"""Validate the merged configuration at the border."""
+"""Define and validate the sections of the merged configuration."""
 
 import re
 from enum import StrEnum
@@ -15,21 +15,21 @@
 
 
 class Preference(StrEnum):
-    """Say which error hurts a budget's owner more."""
+    """Enumerate what a budget's owner prefers to avoid when the two conflict."""
 
     AVOID_REFUSALS = "avoid-refusals"
     AVOID_OVERSPEND = "avoid-overspend"
 
 
 class TargetState(StrEnum):
-    """Say whether a target may get new work."""
+    """Enumerate whether a target may receive new requests."""
 
     SERVING = "serving"
     LEAVING = "leaving"
 
 
 class Section(BaseModel):
-    """Refuse keys that no section knows."""
+    """Reject unknown keys in a section of the configuration."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=False)
 
@@ -57,7 +57,7 @@
 
 
 class ModelConfig(Section):
-    """Describe a model; a prompt token is at least this many bytes."""
+    """Describe a model; a prompt token has at least `prompt_bytes_per_token` bytes."""
 
     prompt_bytes_per_token: Annotated[int, Field(ge=1, le=16)] = 1
     max_output_tokens: Annotated[int, Field(ge=1, le=1_000_000)] = 1024
@@ -78,7 +78,7 @@
 
 
 class OperationConfig(Section):
-    """Describe one call of a plain service."""
+    """Describe one operation of a plain HTTP service."""
 
     path: Annotated[str, Field(pattern=r"^/[A-Za-z0-9/_.-]*$")]
     method: Annotated[str, Field(pattern=r"^(GET|POST|PUT|DELETE)$")] = "POST"
@@ -87,7 +87,7 @@
 
 
 class ServiceConfig(Section):
-    """Describe a plain service, its servers and its calls."""
+    """Describe a plain HTTP service, its servers and its operations."""
 
     urls: Annotated[tuple[HttpUrl, ...], Field(min_length=1)]
     operations: dict[Identifier, OperationConfig]
@@ -95,13 +95,13 @@
 
 
 class FleetConfig(Section):
-    """Describe what the whole fleet agrees on."""
+    """Describe the settings that apply to the whole fleet."""
 
     ledger_streams: Annotated[int, Field(ge=1, le=4096)] = 1
 
 
 class Configuration(Section):
-    """Hold the whole merged configuration."""
+    """Represent the whole merged configuration."""
 
     fleet: FleetConfig = FleetConfig()
     workspaces: dict[Identifier, WorkspaceConfig] = {}
@@ -113,5 +113,5 @@
 
 
 def is_identifier(name: str) -> bool:
-    """Tell whether a name may name an entry."""
+    """Return whether a text is a valid name of an entry."""
     return re.fullmatch(IDENTIFIER_PATTERN.strip("^$"), name) is not None
