--- a/tests/components/faulty_log.py
+++ b/tests/components/faulty_log.py
@@ -1,4 +1,4 @@
-"""Keep a log of which calls are lost, late or held, as told."""
+"""Simulate a log whose calls are lost, delayed or blocked on request."""
 
 import asyncio
 import random
@@ -9,21 +9,21 @@
 from trefoilstage.components.log_client.client import LogPage, LogRecord
 from trefoilstage.exceptions import LogUnavailableError, RecordsExpiredError
 
-CALL_S = 0.004
+CALL_DELAY_S = 0.004
 
 
-def tell_time() -> float:
-    """Return the loop's time in seconds."""
+def get_time() -> float:
+    """Return the event loop's time in seconds."""
     return asyncio.get_running_loop().time()
 
 
 @dataclass(kw_only=True, slots=True)
 class Faults:
-    """Hold what befalls the calls of one host."""
+    """Describe the faults that affect the calls of one host."""
 
     cut: bool = False
     frozen: bool = False
-    # Shares of the log's calls.
+    # Shares of the calls to the log, from 0 to 1.
     lose_requests: float = 0.0
     lose_answers: float = 0.0
     late_answers: float = 0.0
@@ -34,7 +34,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class FaultyLog:
-    """Keep the newest records of one stream."""
+    """Store one stream, of which only the newest records can be read."""
 
     n_kept: int = 1
     down: bool = False
@@ -42,13 +42,13 @@
 
     @property
     def earliest(self) -> int:
-        """Return the first offset that is kept."""
+        """Return the offset of the oldest readable record."""
         return max(0, len(self.records) - self.n_kept)
 
 
 @dataclass(kw_only=True, slots=True)
-class FaultyLink:
-    """Reach the log as one host does."""
+class FaultyLogClient:
+    """Call the log as one host, subject to that host's faults."""
 
     log: FaultyLog
     generator: random.Random
@@ -67,17 +67,17 @@
     async def read(
         self, stream: str, offset: int, *, wait_s: float, timeout_s: float
     ) -> LogPage:
-        """Return the records from an offset on, waiting for the first one."""
+        """Return the records from an offset; wait up to wait_s for the first one."""
         async with self._call(timeout_s + wait_s) as log:
             while self.get_faults().hold_reads:
-                await asyncio.sleep(CALL_S)
-            until = tell_time() + wait_s
-            while offset >= len(log.records) and tell_time() < until:
-                await asyncio.sleep(CALL_S)
+                await asyncio.sleep(CALL_DELAY_S)
+            until = get_time() + wait_s
+            while offset >= len(log.records) and get_time() < until:
+                await asyncio.sleep(CALL_DELAY_S)
             end, earliest = len(log.records), log.earliest
             kept = tuple(
-                LogRecord(offset=place, data=log.records[place])
-                for place in range(max(offset, earliest), end)
+                LogRecord(offset=position, data=log.records[position])
+                for position in range(max(offset, earliest), end)
             )
         if offset < earliest:
             raise RecordsExpiredError(earliest=earliest)
@@ -85,30 +85,30 @@
 
     @asynccontextmanager
     async def _call(self, timeout_s: float) -> AsyncIterator[FaultyLog]:
-        """Lose the request or the answer, or let it come late, as told."""
+        """Lose the request or the response, or delay the response, as configured."""
         faults = self.get_faults()
         try:
             async with asyncio.timeout(timeout_s):
-                await asyncio.sleep(CALL_S)
-                await self._pass(faults.lose_requests)
+                await asyncio.sleep(CALL_DELAY_S)
+                await self._transmit(faults.lose_requests)
                 if self.log.down:
                     raise LogUnavailableError("status 503")
                 yield self.log
-                await asyncio.sleep(CALL_S)
+                await asyncio.sleep(CALL_DELAY_S)
                 if self.generator.random() < faults.late_answers:
                     await self._delay(faults.late_s)
-                await self._pass(faults.lose_answers)
+                await self._transmit(faults.lose_answers)
         except TimeoutError as error:
             raise LogUnavailableError("timeout") from error
 
     async def _delay(self, delay_s: float) -> None:
-        """Hold an answer back, at most until the faults end."""
-        faults, until = self.get_faults(), tell_time() + delay_s
-        while self.get_faults() is faults and tell_time() < until:
-            await asyncio.sleep(CALL_S)
+        """Delay a response, at most until the faults end."""
+        faults, until = self.get_faults(), get_time() + delay_s
+        while self.get_faults() is faults and get_time() < until:
+            await asyncio.sleep(CALL_DELAY_S)
 
-    async def _pass(self, share: float) -> None:
+    async def _transmit(self, share: float) -> None:
         if self.generator.random() < share:
             raise LogUnavailableError("connection lost")
         while self.get_faults().cut or self.get_faults().frozen:
-            await asyncio.sleep(CALL_S)
+            await asyncio.sleep(CALL_DELAY_S)
--- a/tests/components/log_fault_play.py
+++ b/tests/components/log_fault_play.py
@@ -1,4 +1,7 @@
-"""Let random faults befall hosts before a short log, and report what they break."""
+"""Inject random faults into hosts on a log with a short retention.
+
+Run as a script with a range of seeds, it prints what each seed breaks.
+"""
 
 import asyncio
 import random
@@ -8,24 +11,24 @@
 
 from bench.emulator.clock import run_virtually
 from tests.components.faulty_log import Faults
-from tests.components.log_faults import SETTLE_S, Host, World
+from tests.components.log_faults import SETTLE_S, Cluster, Host
 from trefoilstage.components.operators.server import VERDICT_WAIT_S
 from trefoilstage.helpers.verdict import ACCEPTED, Verdict
 
-FAULTS_S = 20.0
-MAX_PAUSE_S = 1.2
+FAULT_PHASE_S = 20.0
+MAX_STEP_S = 1.2
 DURATIONS_S = (0.3, 1.0, 3.0, 6.0)
-LATE_S = (0.3, 1.0, 4.0, 9.0, 15.0)
-RESTARTS_S = (0.1, 2.0, 6.0)
-LAST = 900
-# Two hosts replaced while the log has dropped a record hold the stream up: they may
-# have been the only ones that acted upon it.
+DELAYS_S = (0.3, 1.0, 4.0, 9.0, 15.0)
+RESTART_DELAYS_S = (0.1, 2.0, 6.0)
+FINAL_CHANGE = 900
+# If two hosts are replaced after the log has dropped a record, the stream is blocked:
+# they may have been the only hosts that acted on the record.
 MAX_KILLS = 1
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Change:
-    """Hold a published change and the host that was asked."""
+class PublishedChange:
+    """Describe a published change and the host that received it."""
 
     number: int
     host: Host
@@ -33,97 +36,103 @@
 
 
 @dataclass(kw_only=True)
-class Play:
-    """Drive one world by a seed."""
+class FaultRun:
+    """Inject the faults of one seed into a cluster."""
 
-    world: World
+    cluster: Cluster
     generator: random.Random
-    changes: list[Change] = field(default_factory=list)
-    ends: list[tuple[float, Callable[[], object]]] = field(default_factory=list)
+    changes: list[PublishedChange] = field(default_factory=list)
+    fault_ends: list[tuple[float, Callable[[], object]]] = field(default_factory=list)
 
     async def run(self) -> list[str]:
-        """Return what a caller or operator would find broken."""
-        world = self.world
-        await world.settle()
-        world.log.n_kept = self.generator.choice((1, 1, 1, 2, 5))
-        until = world.now() + FAULTS_S
-        while world.now() < until:
-            await asyncio.sleep(self.generator.uniform(0.02, MAX_PAUSE_S))
-            self._end_faults(world.now())
-            self._act()
+        """Return the failures that a caller or operator would observe."""
+        cluster = self.cluster
+        await cluster.settle()
+        cluster.log.n_kept = self.generator.choice((1, 1, 1, 2, 5))
+        until = cluster.now() + FAULT_PHASE_S
+        while cluster.now() < until:
+            await asyncio.sleep(self.generator.uniform(0.02, MAX_STEP_S))
+            self._end_faults(cluster.now())
+            self._take_step()
         self._end_faults(float("inf"))
         await asyncio.sleep(0)
-        world.heal()
+        cluster.heal()
         return await self._check()
 
     def _end_faults(self, now: float) -> None:
-        for item in [item for item in self.ends if item[0] <= now]:
-            self.ends.remove(item)
-            item[1]()
+        for fault_end in [item for item in self.fault_ends if item[0] <= now]:
+            self.fault_ends.remove(fault_end)
+            fault_end[1]()
 
-    def _act(self) -> None:
-        generator, world = self.generator, self.world
-        name = generator.choice(sorted(world.hosts))
+    def _take_step(self) -> None:
+        generator, cluster = self.generator, self.cluster
+        name = generator.choice(sorted(cluster.hosts))
         if generator.random() < 0.4:
             number = len(self.changes)
-            future = world.submit(name, number)
-            host = world.hosts[name]
-            self.changes.append(Change(number=number, host=host, future=future))
+            future = cluster.submit(name, number)
+            host = cluster.hosts[name]
+            self.changes.append(
+                PublishedChange(number=number, host=host, future=future)
+            )
         elif generator.random() < 0.15:
-            self._kill(name)
+            self._restart_host(name)
         else:
-            self._disturb(name)
+            self._inject_fault(name)
 
-    def _kill(self, name: str) -> None:
-        world = self.world
-        if len(world.gone) >= MAX_KILLS:
+    def _restart_host(self, name: str) -> None:
+        cluster = self.cluster
+        if len(cluster.stopped_hosts) >= MAX_KILLS:
             return
-        world.spawn(world.kill(name))
-        at = world.now() + self.generator.choice(RESTARTS_S)
-        self.ends.append((at, lambda: world.spawn(world.start(name))))
-
-    def _disturb(self, name: str) -> None:
-        generator, world = self.generator, self.world
-        faults = world.hosts[name].faults
-        at = world.now() + generator.choice(DURATIONS_S)
+        cluster.spawn(cluster.kill(name))
+        at = cluster.now() + self.generator.choice(RESTART_DELAYS_S)
+        self.fault_ends.append((at, lambda: cluster.spawn(cluster.start(name))))
+
+    def _inject_fault(self, name: str) -> None:
+        generator, cluster = self.generator, self.cluster
+        faults = cluster.hosts[name].faults
+        at = cluster.now() + generator.choice(DURATIONS_S)
         kind = generator.choice(
             ("cut", "frozen", "hold_reads", "lose_requests", "lose_answers")
-            + ("late_answers", "late_appends_s", "down", "apart")
+            + ("late_answers", "late_appends_s", "down", "disconnected")
         )
         if kind == "down":
-            world.log.down = True
-            self.ends.append((at, lambda: setattr(world.log, "down", False)))
+            cluster.log.down = True
+            self.fault_ends.append((at, lambda: setattr(cluster.log, "down", False)))
             return
-        if kind == "apart":
-            peer = generator.choice([item for item in world.names if item != name])
-            world.part(name, peer)
-            self.ends.append((at, world.apart.clear))
+        if kind == "disconnected":
+            peer = generator.choice([item for item in cluster.names if item != name])
+            cluster.disconnect(name, peer)
+            self.fault_ends.append((at, cluster.disconnected.clear))
             return
-        faults.late_s = generator.choice(LATE_S)
+        faults.late_s = generator.choice(DELAYS_S)
         value = {"late_appends_s": faults.late_s, "lose_requests": 0.5}.get(kind, True)
         setattr(faults, kind, value)
-        self.ends.append((at, lambda: setattr(faults, kind, getattr(Faults(), kind))))
+        self.fault_ends.append(
+            (at, lambda: setattr(faults, kind, getattr(Faults(), kind)))
+        )
 
     async def _check(self) -> list[str]:
-        world, found = self.world, []
-        last = world.submit(world.names[0], LAST)
+        cluster, failures = self.cluster, []
+        last = cluster.submit(cluster.names[0], FINAL_CHANGE)
         done, _ = await asyncio.wait([last], timeout=VERDICT_WAIT_S)
         if not done or last.result() != ACCEPTED:
-            found.append("no verdict in an operator's wait")
-        asked = [item for item in self.changes if not item.host.dead]
-        if asked:
-            futures = [item.future for item in asked]
+            failures.append("no verdict within an operator's wait")
+        live_changes = [item for item in self.changes if not item.host.is_dead]
+        if live_changes:
+            futures = [item.future for item in live_changes]
             await asyncio.wait(futures, timeout=SETTLE_S)
         try:
-            await world.settle()
+            await cluster.settle()
         except TimeoutError:
-            return [*found, "hosts stand apart"]
-        for item in asked:
+            return [*failures, "hosts did not reach the same offset"]
+        for item in live_changes:
             if not item.future.done() or item.future.result() != ACCEPTED:
-                found.append(f"change {item.number} got no verdict or was rejected")
-        found += [f"state differs at {item}" for item in world.find_parted(live=True)]
-        found += [f"change {number} reverted" for number in self._list_reverted()]
-        return found
+                failures.append(f"change {item.number} got no verdict or was rejected")
+        failures += [
+            f"state differs at {item}" for item in cluster.find_divergence(live=True)
+        ]
+        failures += [f"change {number} reverted" for number in self._list_reverted()]
+        return failures
 
     def _list_reverted(self) -> list[int]:
         accepted = [
@@ -133,35 +142,35 @@
             and not item.future.cancelled()
             and item.future.result() == ACCEPTED
         ]
-        files = [host.board.config.files for host in self.world.hosts.values()]
+        files = [host.board.config.files for host in self.cluster.hosts.values()]
         return [
             number
             for number in accepted
-            if any(f"{number:03d}-a.toml" not in held for held in files)
+            if any(f"{number:03d}-a.toml" not in names for names in files)
         ]
 
 
-async def play(seed: int) -> list[str]:
-    """Return what breaks under a seed's faults."""
+async def run_seed(seed: int) -> list[str]:
+    """Return the failures under a seed's faults."""
     generator = random.Random(seed)
-    async with World(
+    async with Cluster(
         names=tuple("abcd"[: generator.choice((3, 3, 4))]),
         seed=seed,
         checkpoint_s=generator.choice((3.0, 3600.0)),
-    ) as world:
-        return await Play(world=world, generator=generator).run()
+    ) as cluster:
+        return await FaultRun(cluster=cluster, generator=generator).run()
 
 
 def main() -> None:
-    """Play a range of seeds and print what each breaks."""
+    """Run a range of seeds and print the failures of each."""
     first, last = map(int, sys.argv[1:3])
-    broken = 0
+    n_failed = 0
     for seed in range(first, last):
-        found = run_virtually(play(seed))
-        broken += bool(found)
-        for text in found:
+        failures = run_virtually(run_seed(seed))
+        n_failed += bool(failures)
+        for text in failures:
             sys.stdout.write(f"seed={seed} {text}\n")
-    sys.stdout.write(f"plays={last - first} broken={broken}\n")
+    sys.stdout.write(f"seeds={last - first} failed={n_failed}\n")
 
 
 if __name__ == "__main__":
--- a/tests/components/log_faults.py
+++ b/tests/components/log_faults.py
@@ -1,4 +1,4 @@
-"""Play hosts before a short log under random faults, in virtual time."""
+"""Simulate hosts on a log with a short retention and faults, in virtual time."""
 
 import asyncio
 import random
@@ -8,7 +8,7 @@
 
 from mode import Service
 
-from tests.components.faulty_log import CALL_S, Faults, FaultyLink, FaultyLog
+from tests.components.faulty_log import CALL_DELAY_S, Faults, FaultyLog, FaultyLogClient
 from tests.components.relays import HandlerTable
 from trefoilstage.blackboard import Blackboard, ListedHost, PeerStatus, StreamStatus
 from trefoilstage.components.log_client.checkpoints import (
@@ -37,33 +37,33 @@
 
 
 class Host(Service):
-    """Own the stream, relay and board of one incarnation."""
+    """Run the stream, relay and blackboard of one incarnation."""
 
-    def __init__(self, *, world: "World", name: str, number: int) -> None:
+    def __init__(self, *, cluster: "Cluster", name: str, number: int) -> None:
         super().__init__()
         self.name = name
         self.faults = Faults()
-        self.dead = False
-        self.answers: list[asyncio.Task[Verdict]] = []
+        self.is_dead = False
+        self.verdict_tasks: list[asyncio.Task[Verdict]] = []
         self.handlers = HandlerTable()
         self.incarnation = f"{name}-{number}"
         self.board = Blackboard(
             host=name, incarnation=self.incarnation, data_center="brest"
         )
-        for other in world.names:
+        for other in cluster.names:
             self.board.listed[other] = ListedHost(host=other, peer_url=other)
         self.board.streams[STREAM] = StreamStatus()
-        generator = random.Random(f"{world.seed}{self.incarnation}")
+        generator = random.Random(f"{cluster.seed}{self.incarnation}")
         self.relay = RelayedLog(
-            client=FaultyLink(  # type: ignore[arg-type]
-                log=world.log,
-                generator=world.random,
+            client=FaultyLogClient(  # type: ignore[arg-type]
+                log=cluster.log,
+                generator=cluster.random,
                 get_faults=lambda: self.faults,
             ),
             blackboard=self.board,
-            links=Links(world=world, host=self),  # type: ignore[arg-type]
+            links=Links(cluster=cluster, host=self),  # type: ignore[arg-type]
             server=self.handlers,  # type: ignore[arg-type]
-            timeout_s=world.log_timeout_s,
+            timeout_s=cluster.log_timeout_s,
             generator=generator,
         )
         self.fold = RecordedFold(blackboard=self.board)
@@ -74,20 +74,22 @@
             fold=self.fold,
             status=self.board.streams[STREAM],
             poll_s=POLL_S,
-            schedule=CheckpointSchedule(every=1_000, interval_s=world.checkpoint_s),
-            rank_writer=lambda _: world.names.index(name),
+            schedule=CheckpointSchedule(
+                interval_records=1_000, interval_s=cluster.checkpoint_s
+            ),
+            rank_writer=lambda _: cluster.names.index(name),
             generator=generator,
         )
         SnapshotServer(server=self.handlers, pack=self.pack)  # type: ignore[arg-type]
 
     async def pack(self, name: str) -> PackedState | None:
-        """Return the stream's state once it is whole."""
+        """Return the stream's packed state, or None before it is caught up."""
         if not self.stream.status.caught_up:
             return None
         return await compress_state(self.stream.fold.dump())
 
     async def on_start(self) -> None:
-        """Follow the stream and announce this host."""
+        """Start the stream and announce this host."""
         await self.add_runtime_dependency(self.relay)
         await self.add_runtime_dependency(self.stream)
         self.stream.submit(
@@ -102,20 +104,20 @@
 
 
 class RecordedFold(ConfigFold):
-    """Note at which offsets records were folded and which were passed over."""
+    """Store which records were folded and which offsets were skipped."""
 
     def __init__(self, *, blackboard: Blackboard) -> None:
         super().__init__(blackboard=blackboard)
         self.folded: dict[int, object] = {}
 
     def fold(self, offset: int, envelope: Any) -> Verdict:
-        """Note what was folded."""
+        """Fold a record and store its writer and sequence."""
         if offset >= self.next_offset:
             self.folded[offset] = (envelope.incarnation, envelope.sequence)
         return super().fold(offset, envelope)
 
     def skip(self, offset: int) -> None:
-        """Note what was passed over."""
+        """Skip an offset and store that it was skipped."""
         if offset >= self.next_offset:
             self.folded[offset] = None
         super().skip(offset)
@@ -123,26 +125,26 @@
 
 @dataclass(kw_only=True, slots=True)
 class Links:
-    """Give the links of one host to its peers."""
+    """Provide the links of one host to its peers."""
 
-    world: "World"
+    cluster: "Cluster"
     host: Host
 
     def get_link(self, url: str) -> "Link":
         """Return the link to a peer."""
-        return Link(world=self.world, host=self.host, peer=url)
+        return Link(cluster=self.cluster, host=self.host, peer=url)
 
 
 @dataclass(kw_only=True, slots=True)
 class Link:
-    """Call one peer."""
+    """Call one peer from one host."""
 
-    world: "World"
+    cluster: "Cluster"
     host: Host
     peer: str
 
     async def call(self, message: Any, *, timeout_s: float) -> Any:
-        """Return the peer's answer, or none in time."""
+        """Return the peer's reply, or raise PeerUnavailableError."""
         try:
             async with asyncio.timeout(timeout_s):
                 peer = await self._reach()
@@ -154,14 +156,14 @@
             raise PeerUnavailableError(repr(error)) from error
 
     async def _reach(self) -> Host:
-        await asyncio.sleep(CALL_S)
-        while not self.world.can_reach(self.host, self.peer):
-            await asyncio.sleep(CALL_S)
-        return self.world.hosts[self.peer]
+        await asyncio.sleep(CALL_DELAY_S)
+        while not self.cluster.can_reach(self.host, self.peer):
+            await asyncio.sleep(CALL_DELAY_S)
+        return self.cluster.hosts[self.peer]
 
 
-class World:
-    """Own the hosts and the log of one play."""
+class Cluster:
+    """Manage the hosts and the log of one simulation."""
 
     def __init__(
         self,
@@ -178,59 +180,63 @@
         self.random = random.Random(seed)
         self.log = FaultyLog(n_kept=1_000)
         self.hosts: dict[str, Host] = {}
-        self.gone: list[Host] = []
-        self.apart: set[frozenset[str]] = set()
-        self._watch: asyncio.Task[None] | None = None
+        self.stopped_hosts: list[Host] = []
+        self.disconnected: set[frozenset[str]] = set()
+        self._peer_updates: asyncio.Task[None] | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     def now(self) -> float:
         """Return the virtual time in seconds."""
         return asyncio.get_running_loop().time()
 
-    async def __aenter__(self) -> "World":
+    async def __aenter__(self) -> "Cluster":
         for name in self.names:
             await self.start(name)
-        self._watch = asyncio.create_task(self._watch_peers())
+        self._peer_updates = asyncio.create_task(self._update_peers())
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        if self._watch is not None:
-            self._watch.cancel()
+        if self._peer_updates is not None:
+            self._peer_updates.cancel()
         for name in list(self.hosts):
             await self.kill(name)
 
     async def start(self, name: str) -> None:
-        """Start a host, or start it again."""
-        number = sum(host.name == name for host in self.gone) + 1
-        self.hosts[name] = Host(world=self, name=name, number=number)
+        """Start a host, with a new incarnation if it ran before."""
+        number = sum(host.name == name for host in self.stopped_hosts) + 1
+        self.hosts[name] = Host(cluster=self, name=name, number=number)
         await self.hosts[name].start()
 
     async def kill(self, name: str) -> None:
-        """End a host with all that it knows."""
+        """Stop a host and lose its state."""
         host = self.hosts.pop(name)
-        host.dead = True
-        for answer in host.answers:
-            answer.cancel()
-        self.gone.append(host)
+        host.is_dead = True
+        for task in host.verdict_tasks:
+            task.cancel()
+        self.stopped_hosts.append(host)
         await host.stop()
 
     def can_reach(self, host: Host, peer: str) -> bool:
-        """Tell whether a call between two hosts gets through now."""
+        """Return whether a call between two hosts can be delivered now."""
         other = self.hosts.get(peer)
-        if other is None or host.dead or frozenset((host.name, peer)) in self.apart:
+        if (
+            other is None
+            or host.is_dead
+            or frozenset((host.name, peer)) in self.disconnected
+        ):
             return False
         return not (host.faults.frozen or other.faults.frozen)
 
-    async def _watch_peers(self) -> None:
-        heard: dict[tuple[str, str], float] = {}
+    async def _update_peers(self) -> None:
+        heard_at: dict[tuple[str, str], float] = {}
         while True:
             for name, host in self.hosts.items():
                 for peer, entry in host.board.config.hosts.items():
                     other = self.hosts.get(peer)
                     is_same = other and other.incarnation == entry.incarnation
                     if is_same and self.can_reach(host, peer):
-                        heard[name, entry.incarnation] = self.now()
-                    last = heard.get((name, entry.incarnation), 0.0)
+                        heard_at[name, entry.incarnation] = self.now()
+                    last = heard_at.get((name, entry.incarnation), 0.0)
                     host.board.peers[peer] = PeerStatus(
                         incarnation=entry.incarnation,
                         last_heard=last,
@@ -238,19 +244,19 @@
                     )
             await asyncio.sleep(HEARTBEAT_S)
 
-    def part(self, name: str, *others: str) -> None:
-        """Cut a host from others."""
-        self.apart |= {frozenset((name, other)) for other in others}
+    def disconnect(self, name: str, *others: str) -> None:
+        """Block all calls between a host and others."""
+        self.disconnected |= {frozenset((name, other)) for other in others}
 
     def heal(self) -> None:
         """End all faults."""
-        self.apart.clear()
+        self.disconnected.clear()
         self.log.down = False
         for host in self.hosts.values():
             host.faults = Faults()
 
     def is_settled(self) -> bool:
-        """Tell whether every host knows all others and has folded the whole stream."""
+        """Return whether every host lists all hosts and has folded the whole stream."""
         end = len(self.log.records)
         return all(
             host.stream.status.caught_up
@@ -263,10 +269,10 @@
         """Wait until the hosts have folded the whole stream, or raise TimeoutError."""
         async with asyncio.timeout(timeout_s):
             while not self.is_settled():
-                await asyncio.sleep(CALL_S)
+                await asyncio.sleep(CALL_DELAY_S)
 
     def submit(self, name: str, number: int) -> asyncio.Future[Verdict]:
-        """Publish a file of its own through a host, as an operator does."""
+        """Publish a new file through a host, as an operator does."""
         record = Publish(
             operation=f"op-{number}",
             name=f"{number:03d}-a.toml",
@@ -274,11 +280,11 @@
             base_revision=-1,
         )
         host = self.hosts[name]
-        answer = asyncio.create_task(
+        verdict_task = asyncio.create_task(
             host.stream.wait_for_verdict(host.stream.submit(record))
         )
-        host.answers.append(answer)
-        return answer
+        host.verdict_tasks.append(verdict_task)
+        return verdict_task
 
     def list_hosts_with(self, number: int) -> list[str]:
         """Return the hosts that have a published file in force."""
@@ -288,21 +294,24 @@
         ]
 
     def spawn(self, change: Coroutine[Any, Any, None]) -> None:
-        """Start or kill a host beside what goes on."""
+        """Start or kill a host in the background."""
         task = asyncio.create_task(change)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def find_parted(self, *, live: bool = False) -> list[str]:
-        """Return the offsets at which two hosts have folded different records."""
+    def find_divergence(self, *, live: bool = False) -> list[str]:
+        """Return the offsets at which hosts have folded different records.
+
+        Stopped hosts are included unless only live ones are requested.
+        """
         seen: dict[int, tuple[str, object]] = {}
-        parted = []
-        gone = [] if live else self.gone
-        for host in [*gone, *self.hosts.values()]:
+        differences = []
+        stopped_hosts = [] if live else self.stopped_hosts
+        for host in [*stopped_hosts, *self.hosts.values()]:
             for offset, record in host.fold.folded.items():
                 name, other = seen.setdefault(offset, (host.incarnation, record))
                 if other != record:
-                    parted.append(
+                    differences.append(
                         f"{offset}: {name} {other}, {host.incarnation} {record}"
                     )
-        return parted
+        return differences
--- a/tests/components/test_announcement.py
+++ b/tests/components/test_announcement.py
@@ -18,10 +18,10 @@
 
 
 class AnnouncementTest(unittest.IsolatedAsyncioTestCase):
-    """Start a host before a log that keeps one record."""
+    """Start a host on a log that keeps one record."""
 
     async def test_host_without_a_state_appends_nothing(self) -> None:
-        """Guard against a newcomer whose announcement drops the checkpoint it needs."""
+        """Guard against an announcement that expires the checkpoint its host needs."""
         streams = mock.Mock()
         streams.config.status.caught_up = False
         timer = TimerService()
--- a/tests/components/test_loss.py
+++ b/tests/components/test_loss.py
@@ -1,4 +1,4 @@
-"""Test who goes on past records that the log dropped unread."""
+"""Test which host may skip a record that the log dropped unread."""
 
 import unittest
 from dataclasses import replace
@@ -12,36 +12,37 @@
 
 
 class LossTest(unittest.TestCase):
-    """Decide for the host "b" that stands before offset 5."""
+    """Decide for the host "b", whose next offset is 5."""
 
     def decide(self, **positions: PeerPosition | None) -> bool:
-        """Return the decision beside the given other hosts."""
+        """Return the decision given the positions of other hosts."""
         incarnations = dict.fromkeys(("a", "b", "c", "d"), "x-1")
         return may_go_on(
             host="b", offset=5, positions=positions, incarnations=incarnations
         )
 
-    def test_first_of_those_that_stand_furthest_goes_on(self) -> None:
+    def test_first_by_name_of_the_most_advanced_hosts_skips_the_record(self) -> None:
         self.assertTrue(self.decide(c=LEVEL, a=BEHIND))
         self.assertFalse(self.decide(a=LEVEL))
         self.assertFalse(self.decide(c=AHEAD))
 
-    def test_silent_host_and_one_that_has_the_record_hold_it_up(self) -> None:
+    def test_unresponsive_host_or_one_with_the_record_prevents_the_skip(self) -> None:
         self.assertFalse(self.decide(c=None))
         self.assertFalse(self.decide(c=replace(BEHIND, has_record=True)))
 
-    def test_host_without_a_state_never_goes_on(self) -> None:
+    def test_host_without_a_state_never_skips_a_record(self) -> None:
         decision = may_go_on(host="b", offset=0, positions={}, incarnations={})
         self.assertFalse(decision)
 
-    def test_one_replaced_host_is_borne_and_two_are_not(self) -> None:
-        """Replace a host, then another: the two may have used a draw that is lost.
+    def test_one_replaced_host_is_tolerated_and_two_are_not(self) -> None:
+        """Replace one host, then two.
 
-        One alone could not, since a draw is used with its witness's word.
+        A draw is used only after its witness has acknowledged it, so one replaced host
+        cannot have used a lost draw alone; two can.
         """
         self.assertTrue(self.decide(c=REPLACED, a=BEHIND))
         self.assertFalse(self.decide(c=REPLACED, a=BEHIND, d=REPLACED))
-        # A host that is not on the list has replaced nobody.
+        # A host that is not listed does not count as replaced.
         self.assertTrue(self.decide(c=REPLACED, e=REPLACED))
 
 
--- a/tests/components/test_lost_records.py
+++ b/tests/components/test_lost_records.py
@@ -1,4 +1,4 @@
-"""Test a fleet whose log dropped a record that nobody has read."""
+"""Test a fleet whose log dropped a record that no host has read."""
 
 import asyncio
 import random
@@ -22,12 +22,12 @@
 from trefoilstage.helpers.verdict import ACCEPTED
 
 TIMEOUT_S = 10.0
-# How long a fleet must go on standing still to count as safe from going on.
-STANDS_STILL_S = 1.0
+# How long to observe that no host skips the record.
+OBSERVED_S = 1.0
 
 
 class Member(Service):
-    """Own one stream of a host that reaches the log and its peers."""
+    """Run one stream of a host that is connected to the log and its peers."""
 
     def __init__(self, *, fleet: RelayFleet, name: str) -> None:
         super().__init__()
@@ -41,7 +41,7 @@
             fold=ConfigFold(blackboard=self.board),
             status=self.board.streams["config"],
             poll_s=POLL_S,
-            schedule=CheckpointSchedule(every=1_000_000, interval_s=3600.0),
+            schedule=CheckpointSchedule(interval_records=1_000_000, interval_s=3600.0),
             rank_writer=lambda _: 0,
             generator=random.Random(name),
         )
@@ -51,7 +51,7 @@
         )
 
     async def pack(self, name: str) -> PackedState | None:
-        """Return the stream's state once it is whole."""
+        """Return the stream's packed state, or None before it is caught up."""
         if not self.stream.status.caught_up:
             return None
         return await compress_state(self.stream.fold.dump())
@@ -63,7 +63,7 @@
 
 
 class LostRecordTest(unittest.IsolatedAsyncioTestCase):
-    """Let an append land without an answer, and expire before it is read."""
+    """Let an append take effect without a response and expire before it is read."""
 
     async def asyncSetUp(self) -> None:
         patch = mock.patch.object(stream_module, "LOST_AFTER_S", 0.1, create=True)
@@ -78,7 +78,7 @@
     async def lose_record(
         self, fleet: RelayFleet, names: tuple[str, ...], *, n_kept: int = 1
     ) -> Ticket:
-        """Accept a first change, then land a second one twice without an answer."""
+        """Publish a change, then append a second one twice without a response."""
         self.members = [Member(fleet=fleet, name=name) for name in names]
         for member in self.members:
             await member.start()
@@ -95,13 +95,14 @@
         fleet.cut_reads = False
         return ticket
 
-    async def test_fleet_goes_on_past_a_record_that_nobody_has(self) -> None:
-        """Cut all hosts from the log as one appends, for longer than it keeps records.
+    async def test_fleet_skips_a_record_that_no_host_has(self) -> None:
+        """Guard against a stream that is blocked permanently at a lost record.
 
-        The append lands twice without an answer, so that nobody knows at which offsets,
-        and both copies are gone before the log is back. Every host stood before the
-        first one and sought a checkpoint; none was caught up, so none gave a state to
-        the others. No change of the configuration and no draw was possible any more.
+        All hosts lose the log during an append, for longer than its retention. The
+        append takes effect twice without a response, so that no host knows the offsets,
+        and both copies expire before the log is back. Every host waited at the first
+        one for a checkpoint; no host was caught up, so no host provided a state. No
+        change of the configuration and no draw was possible any more.
         """
         names = ("a", "b", "c")
         fleet = RelayFleet(names=names)
@@ -115,13 +116,13 @@
                 lambda m=member: m.board.config.files == expected, "the change"
             )
 
-    async def test_record_that_its_sender_knows_is_kept_when_the_log_holds_none(
+    async def test_record_known_to_its_sender_is_kept_when_the_log_is_empty(
         self,
     ) -> None:
-        """Lose a record as above, then let the log drop all that it holds.
+        """Lose a record as above, then let the log drop all its records.
 
-        The third sending was answered: two hosts know the record and its offset. Only
-        the two before it are passed over; the change itself must not be.
+        The third append got a response, so that its host knows the record and its
+        offset. Hosts may skip the two copies before it but not the change itself.
         """
         fleet = RelayFleet(names=("a", "b", "c"))
         ticket = await self.lose_record(fleet, ("a", "b", "c"), n_kept=0)
@@ -130,22 +131,22 @@
         for member in self.members:
             await wait_until(lambda m=member: len(m.board.config.files) == 2, "both")
 
-    async def test_nobody_goes_on_while_a_host_is_out_of_reach(self) -> None:
-        """Lose a record as above, with a fourth host that gives no answer.
+    async def test_no_host_skips_a_record_while_a_host_is_unreachable(self) -> None:
+        """Lose a record as above, with a fourth host that does not respond.
 
-        It may have read the record and acted upon it, as by a draw of tokens. A host
-        that went on without it would count those tokens as free and spend them again,
-        so all wait for it.
+        It may have read the record and acted on it, for example used a draw of tokens.
+        A host that skipped the record would count those tokens as free and spend them
+        again, so all hosts wait for the fourth.
         """
         names = ("a", "b", "c")
         fleet = RelayFleet(names=(*names, "d"))
         fleet.handlers["d"].silent = True
         ticket = await self.lose_record(fleet, names)
-        await asyncio.sleep(STANDS_STILL_S)
+        await asyncio.sleep(OBSERVED_S)
         self.assertFalse(ticket.future.done())
         for member in self.members:
             self.assertEqual(member.stream.fold.next_offset, 1)
-        # Once it answers that it has not read the record either, they go on.
+        # Once it replies that it has not read the record either, they skip it.
         fleet.handlers["d"].silent = False
         fleet.boards["d"].streams["config"] = StreamStatus(next_offset=1)
         async with asyncio.timeout(TIMEOUT_S):
--- a/tests/components/test_stream.py
+++ b/tests/components/test_stream.py
@@ -1,4 +1,4 @@
-"""Follow a stream of a log in memory that loses answers, records and itself."""
+"""Test a stream on a log in memory that loses responses, records or access."""
 
 import asyncio
 import random
@@ -28,7 +28,7 @@
 
 @dataclass(kw_only=True)
 class MemoryLog:
-    """Hold one stream's records; misbehave as told."""
+    """Store one stream's records and fail on request."""
 
     records: dict[int, bytes] = field(default_factory=dict)
     next_offset: int = 0
@@ -38,11 +38,11 @@
 
     @property
     def earliest(self) -> int:
-        """Return the first offset that is kept."""
+        """Return the offset of the oldest record."""
         return min(self.records, default=self.next_offset)
 
     async def append(self, stream: str, records: list[bytes]) -> int:
-        """Add records; lose the answer after the effect as often as told."""
+        """Append records; lose as many requests and responses as configured."""
         if self.lose_requests > 0:
             self.lose_requests -= 1
             raise LogUnavailableError("request lost")
@@ -56,27 +56,27 @@
         return first
 
     async def read(self, stream: str, offset: int, *, wait_s: float) -> LogPage:
-        """Return the records from an offset on."""
+        """Return the records from an offset."""
         await asyncio.sleep(POLL_S)
         if self.is_broken:
-            raise ValueError("a fault of the program")
+            raise ValueError("unexpected error")
         if offset < self.earliest:
             raise RecordsExpiredError(earliest=self.earliest)
         found = tuple(
-            LogRecord(offset=place, data=self.records[place])
-            for place in range(offset, self.next_offset)
+            LogRecord(offset=position, data=self.records[position])
+            for position in range(offset, self.next_offset)
         )
         return LogPage(records=found, next_offset=self.next_offset)
 
     def expire(self, before: int) -> None:
         """Drop the records before an offset."""
-        for offset in [place for place in self.records if place < before]:
+        for offset in [item for item in self.records if item < before]:
             del self.records[offset]
 
 
 @dataclass(kw_only=True)
 class LogLink:
-    """Reach the log as one host does; reads can be cut for it alone."""
+    """Connect one host to the log; its reads can be cut separately."""
 
     log: MemoryLog
     cut_reads: bool = False
@@ -90,30 +90,30 @@
         if self.cut_reads:
             raise LogUnavailableError("cut")
         page = await self.log.read(stream, offset, wait_s=wait_s)
-        # A read under way when the cut comes must lose its answer as well.
+        # A read in flight when the connection is cut must lose its response too.
         if self.cut_reads:
             raise LogUnavailableError("cut")
         return page
 
     async def fetch_state(self, stream: str) -> PackedState | None:
-        """Give no state, as without peers."""
+        """Return no state, as without peers."""
         return None
 
     async def search(self, stream: str, offset: int) -> LogPage | None:
-        """Find no record, as without peers."""
+        """Return no record, as without peers."""
         return None
 
     async def is_shared(self, stream: str, offset: int) -> bool:
-        """Live alone."""
+        """Return True, as without peers."""
         return True
 
     async def is_lost(self, stream: str, offset: int) -> bool:
-        """Wait for the log, as one who can't ask all hosts."""
+        """Return False, as if some host did not respond."""
         return False
 
 
 class Follower(Service):
-    """Own one stream as a host does."""
+    """Run one stream as a host does."""
 
     def __init__(self, *, log: MemoryLog, name: str, every: int = 1_000_000) -> None:
         super().__init__()
@@ -126,7 +126,7 @@
             fold=ConfigFold(blackboard=self.blackboard),
             status=StreamStatus(),
             poll_s=POLL_S,
-            schedule=CheckpointSchedule(every=every, interval_s=3600.0),
+            schedule=CheckpointSchedule(interval_records=every, interval_s=3600.0),
             rank_writer=lambda _: 0,
             generator=random.Random(name),
         )
@@ -137,7 +137,7 @@
 
 
 def make_publish(number: int, content: str = "", *, base: int = -1) -> Publish:
-    """Return a change of a file of its own."""
+    """Return a change that publishes a separate file for each number."""
     return Publish(
         operation=f"op-{number}",
         name=f"{number:02d}-a.toml",
@@ -155,14 +155,14 @@
 
 
 class StreamTest(unittest.IsolatedAsyncioTestCase):
-    """Follow and write one stream."""
+    """Read and append to one stream."""
 
     def setUp(self) -> None:
         self.log = MemoryLog()
         self.started: list[Follower] = []
 
     async def start(self, name: str, *, every: int = 1_000_000) -> Follower:
-        """Start a follower that the test ends."""
+        """Start a follower that is stopped at the end of the test."""
         follower = Follower(log=self.log, name=name, every=every)
         self.started.append(follower)
         await follower.start()
@@ -172,12 +172,12 @@
         for follower in self.started:
             await follower.stop()
 
-    async def test_lost_answers_land_a_record_once(self) -> None:
-        """Lose a request before, and two answers after, an append took effect.
+    async def test_record_is_accepted_once_when_responses_are_lost(self) -> None:
+        """Lose one request, then the responses to two appends that took effect.
 
-        The host cannot see the log meanwhile, so it sends the same group again
-        each time and three copies land. The first one is accepted, the others
-        are repeats, and the change queued behind is accepted after them.
+        The host cannot read the log in the meantime, so it resends the group each
+        time and the log stores three copies. The first is accepted, the others are
+        duplicates, and the change queued behind them is accepted.
         """
         follower = await self.start("a")
         verdicts: list[Verdict] = []
@@ -196,9 +196,9 @@
         self.assertEqual(verdicts, [ACCEPTED, repeat, repeat, ACCEPTED])
 
     async def test_record_beyond_the_limit_does_not_block_the_next(self) -> None:
-        """Submit a record that the log would refuse each time.
+        """Submit a record that the log would reject on every attempt.
 
-        It is rejected at once, and the change behind it is accepted.
+        The writer rejects it immediately, and the change behind it is accepted.
         """
         follower = await self.start("a")
         large = make_publish(1, "#" * MAX_RECORD_BYTES)
@@ -209,7 +209,7 @@
         self.assertEqual(verdicts[1], ACCEPTED)
 
     async def test_record_that_no_host_can_read_does_not_block_the_next(self) -> None:
-        """Guard against a writer whose records all wait for a malformed one."""
+        """Guard against a malformed record that blocks all records behind it."""
         follower = await self.start("a")
         malformed = replace(make_publish(1), name="no file")
         tickets = [
@@ -221,10 +221,10 @@
         self.assertEqual(verdicts[1], ACCEPTED)
 
     async def test_verdict_is_known_after_falling_behind_the_retention(self) -> None:
-        """Lose the answer and the sight of the log until the record has expired.
+        """Lose the response and the reads of the log until the record has expired.
 
-        Another host folds the record and writes a checkpoint. The writer comes
-        back to find only that, and still learns that its change was accepted.
+        Another host folds the record and writes a checkpoint. The writer later finds
+        only the checkpoint, and still learns that its change was accepted.
         """
         writer = await self.start("a")
         other = await self.start("b", every=1)
@@ -242,10 +242,10 @@
         self.assertEqual(writer.blackboard.config.files, other.blackboard.config.files)
 
     async def test_state_beyond_one_record_is_restored_from_parts(self) -> None:
-        """Grow the state beyond what one record may hold.
+        """Let the state grow beyond the size of one record.
 
-        The checkpoint comes in parts, and a host that starts when the rest has
-        expired puts them together.
+        The checkpoint is written in parts, and a host that starts after the older
+        records have expired reassembles them.
         """
         generator = random.Random(5)
         first = await self.start("a")
@@ -268,10 +268,10 @@
         )
 
     async def test_stream_halts_at_an_unknown_version(self) -> None:
-        """Let the stream go over to a version that this host does not know.
+        """Upgrade the stream to a version that this host does not support.
 
-        The host folds what came before, then nothing more, and says so; it
-        never applies or skips a record whose meaning it would have to guess.
+        The host folds the records before the upgrade, then halts and reports it. It
+        must neither apply nor skip a record whose meaning it does not know.
         """
         follower = await self.start("a")
         async with asyncio.timeout(TIMEOUT_S):
@@ -282,10 +282,10 @@
         self.assertFalse(follower.stream.status.caught_up)
         self.assertEqual(follower.stream.fold.next_offset, 1)
 
-    async def test_fault_of_the_program_ends_the_whole_host(self) -> None:
-        """Let the follower meet an error that nobody expected.
+    async def test_unexpected_error_crashes_the_whole_host(self) -> None:
+        """Raise an unexpected error while the stream is read.
 
-        The part does not end alone: its owner is marked as crashed, so that the
+        The stream does not end alone: its owner is marked as crashed, so that the
         daemon ends the process and another host takes over.
         """
         follower = await self.start("a")
--- a/trefoilstage/components/log_client/__init__.py
+++ b/trefoilstage/components/log_client/__init__.py
@@ -1,1 +1,1 @@
-"""Append to the log and fold its records, in order and once."""
+"""Append records to the log and fold each of its records once, in offset order."""
--- a/trefoilstage/components/log_client/client.py
+++ b/trefoilstage/components/log_client/client.py
@@ -1,4 +1,4 @@
-"""Speak the platform log's HTTP protocol."""
+"""Implement the HTTP protocol of the platform's log."""
 
 from dataclasses import dataclass
 from typing import Annotated, TypeVar
@@ -15,26 +15,26 @@
 HTTP_OK = 200
 HTTP_GONE = 410
 
-AnswerT = TypeVar("AnswerT", bound=BaseModel)
+ResponseT = TypeVar("ResponseT", bound=BaseModel)
 
 
-class ReadAnswer(BaseModel):
-    """Check the log's answer to a read."""
+class ReadResponse(BaseModel):
+    """Validate the log's response to a read."""
 
     records: list[tuple[int, bytes]] = []
     earliest: Annotated[int, Field(ge=0)] = 0
     next: Annotated[int, Field(ge=0)] = 0
 
 
-class AppendAnswer(BaseModel):
-    """Check the log's answer to an append."""
+class AppendResponse(BaseModel):
+    """Validate the log's response to an append."""
 
     first: Annotated[int, Field(ge=0)]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LogRecord:
-    """Hold one record's bytes at its offset."""
+    """Represent one record's bytes and its offset."""
 
     offset: int
     data: bytes
@@ -42,7 +42,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LogPage:
-    """Hold what one read returned; stale when nobody asked reaches the log."""
+    """Represent the result of one read.
+
+    It is stale if it comes from a host that cannot reach the log either.
+    """
 
     records: tuple[LogRecord, ...]
     next_offset: int
@@ -59,21 +62,26 @@
     async def append(
         self, stream: str, records: list[bytes], *, timeout_s: float
     ) -> int:
-        """Append a group and return its first offset; repeat after a lost answer."""
+        """Append a group of records and return the offset of the first one.
+
+        If this raises LogUnavailableError, the group may have been appended; repeat it.
+        """
         url = f"{self._url}/streams/{stream}/records"
         body = await self._call("POST", url, timeout_s, cbor2.dumps(records))
-        return parse_answer(AppendAnswer, body).first
+        return parse_response(AppendResponse, body).first
 
     async def read(
         self, stream: str, offset: int, *, wait_s: float, timeout_s: float
     ) -> LogPage:
-        """Return records from an offset, waiting for the first one to come."""
+        """Return records from an offset; wait up to wait_s for the first one."""
         wait_ms = int(wait_s * 1000)
         url = f"{self._url}/streams/{stream}/records?from={offset}&wait_ms={wait_ms}"
         body = await self._call("GET", url, timeout_s + wait_s, None)
-        answer = parse_answer(ReadAnswer, body)
-        records = tuple(LogRecord(offset=at, data=data) for at, data in answer.records)
-        return LogPage(records=records, next_offset=answer.next)
+        response = parse_response(ReadResponse, body)
+        records = tuple(
+            LogRecord(offset=position, data=data) for position, data in response.records
+        )
+        return LogPage(records=records, next_offset=response.next)
 
     async def _call(
         self, method: str, url: str, timeout_s: float, data: bytes | None
@@ -88,17 +96,19 @@
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
             raise LogUnavailableError(repr(error)) from error
         if status == HTTP_GONE:
-            raise RecordsExpiredError(earliest=parse_answer(ReadAnswer, body).earliest)
+            raise RecordsExpiredError(
+                earliest=parse_response(ReadResponse, body).earliest
+            )
         if status != HTTP_OK:
             raise LogUnavailableError(f"status {status}")
         return body
 
 
-def parse_answer(model: type[AnswerT], body: bytes) -> AnswerT:
-    """Return the log's checked answer; anything else counts as no answer."""
+def parse_response(model: type[ResponseT], body: bytes) -> ResponseT:
+    """Return the log's validated response, or raise LogUnavailableError."""
     try:
         return model.model_validate(cbor2.loads(body))
-    # The decoder raises many types for cut or garbled bytes. One that got
-    # through would end the follower, and the host would stand still unseen.
+    # The decoder raises many exception types for truncated or corrupt bytes. An
+    # uncaught one would end the task that reads the stream, and with it the host.
     except Exception as error:
-        raise LogUnavailableError("malformed answer") from error
+        raise LogUnavailableError("malformed response") from error
--- a/trefoilstage/components/log_client/folds.py
+++ b/trefoilstage/components/log_client/folds.py
@@ -1,4 +1,4 @@
-"""Bind each kind of stream to its codec, fold and checkpoint form."""
+"""Combine the codec, fold and checkpoint format of each kind of stream."""
 
 from functools import singledispatch
 from typing import Any
@@ -37,7 +37,7 @@
 )
 from trefoilstage.ledger.state import LedgerState
 
-WARM_UP_FILES = 2
+FILES_PER_WARM_UP = 2
 LEDGER_STATE_ADAPTER = TypeAdapter(LedgerState)
 CONFIG_STATE_ADAPTER = TypeAdapter(ConfigState)
 
@@ -52,37 +52,37 @@
 
     @property
     def state(self) -> LedgerState:
-        """Return the present state."""
+        """Return the current state."""
         return self._blackboard.ledgers[self._number]
 
     @property
     def next_offset(self) -> int:
-        """Return the first offset that is not folded yet."""
+        """Return the next offset to fold."""
         return self.state.next_offset
 
     def decode(self, data: bytes) -> LedgerEnvelope:
-        """Return the envelope in a record's bytes."""
+        """Decode an envelope, or raise MalformedMessageError."""
         envelope = LEDGER_CODEC.decode(data)
         check_version(envelope.version, self.state.fold_version)
         return envelope
 
     def encode(self, incarnation: str, sequence: int, record: Any) -> bytes:
-        """Return the bytes of an envelope."""
+        """Encode a record in its envelope."""
         return LEDGER_CODEC.encode(
             LedgerEnvelope(incarnation=incarnation, sequence=sequence, record=record)
         )
 
     def fold(self, offset: int, envelope: LedgerEnvelope) -> Verdict:
-        """Apply an envelope at its offset."""
+        """Apply an envelope at its offset and return the verdict."""
         check_upgrade(envelope.record, self.state.fold_version)
         return fold_envelope(self.state, offset, envelope)
 
     def skip(self, offset: int) -> None:
-        """Pass over an offset whose bytes are no record."""
+        """Advance past an offset without a valid record."""
         skip_offset(self.state, offset)
 
     def restore(self, packed: PackedState) -> bool:
-        """Take a state newer than the present one; tell whether it was."""
+        """Replace the state if the packed one is newer; return whether it was."""
         if not is_restorable(packed, self.next_offset):
             return False
         state = unpack_state(LEDGER_STATE_ADAPTER, packed)
@@ -90,16 +90,16 @@
         return True
 
     def dump(self) -> DumpedState:
-        """Return the present state's bytes."""
+        """Return the current state in serialized form."""
         return dump_state(LEDGER_STATE_ADAPTER, self.state, self.next_offset)
 
     def get_last_sequence(self, incarnation: str) -> int:
         """Return the last sequence folded from an incarnation, or -1."""
         return self.state.sequences.get(incarnation, -1)
 
-    def judge_restored(self, incarnation: str, record: Any) -> Verdict:
-        """Return the verdict that a restored state shows on a record of ours."""
-        return judge_ledger(record, self.state, incarnation)
+    def get_restored_verdict(self, incarnation: str, record: Any) -> Verdict:
+        """Return the verdict that a restored state shows on a record of this host."""
+        return get_restored_ledger_verdict(record, self.state, incarnation)
 
 
 class ConfigFold:
@@ -111,57 +111,57 @@
 
     @property
     def state(self) -> ConfigState:
-        """Return the present state."""
+        """Return the current state."""
         return self._blackboard.config
 
     @property
     def next_offset(self) -> int:
-        """Return the first offset that is not folded yet."""
+        """Return the next offset to fold."""
         return self.state.next_offset
 
     def decode(self, data: bytes) -> ConfigEnvelope:
-        """Return the envelope in a record's bytes."""
+        """Decode an envelope, or raise MalformedMessageError."""
         envelope = CONFIG_CODEC.decode(data)
         check_version(envelope.version, self.state.fold_version)
         return envelope
 
     def encode(self, incarnation: str, sequence: int, record: Any) -> bytes:
-        """Return the bytes of an envelope."""
+        """Encode a record in its envelope."""
         return CONFIG_CODEC.encode(
             ConfigEnvelope(incarnation=incarnation, sequence=sequence, record=record)
         )
 
     def fold(self, offset: int, envelope: ConfigEnvelope) -> Verdict:
-        """Apply an envelope at its offset."""
+        """Apply an envelope at its offset and return the verdict."""
         check_upgrade(envelope.record, self.state.fold_version)
         return fold_config_envelope(self.state, offset, envelope, self._merger)
 
     def warm_up(self) -> None:
-        """Prepare a few files so that the next change does not stall the loop."""
+        """Index a few files, so that the next change does not block the event loop."""
         files = {name: item.content for name, item in self.state.files.items()}
-        self._merger.warm_up(files, WARM_UP_FILES)
+        self._merger.warm_up(files, FILES_PER_WARM_UP)
 
     def skip(self, offset: int) -> None:
-        """Pass over an offset whose bytes are no record."""
+        """Advance past an offset without a valid record."""
         self.state.next_offset = max(self.state.next_offset, offset + 1)
 
     def restore(self, packed: PackedState) -> bool:
-        """Take a state newer than the present one; tell whether it was."""
+        """Replace the state if the packed one is newer; return whether it was."""
         if not is_restorable(packed, self.next_offset):
             return False
         self._blackboard.config = unpack_state(CONFIG_STATE_ADAPTER, packed)
         return True
 
     def dump(self) -> DumpedState:
-        """Return the present state's bytes."""
+        """Return the current state in serialized form."""
         return dump_state(CONFIG_STATE_ADAPTER, self.state, self.next_offset)
 
     def get_last_sequence(self, incarnation: str) -> int:
         """Return the last sequence folded from an incarnation, or -1."""
         return self.state.sequences.get(incarnation, -1)
 
-    def judge_restored(self, incarnation: str, record: Any) -> Verdict:
-        """Return the verdict that a restored state shows on a record of ours."""
+    def get_restored_verdict(self, incarnation: str, record: Any) -> Verdict:
+        """Return the verdict that a restored state shows on a record of this host."""
         if isinstance(record, Publish | Remove):
             verdict = find_operation_verdict(self.state, record.operation)
             return verdict or Rejected(reason=Reason.NOT_READY)
@@ -169,36 +169,41 @@
 
 
 def is_restorable(packed: PackedState, next_offset: int) -> bool:
-    """Tell whether a checkpoint is newer and of a version this host folds."""
+    """Return whether a checkpoint is newer and has this host's fold version."""
     return packed.fold_version == FOLD_VERSION and packed.offset > next_offset
 
 
 def check_version(version: int, stream_version: int) -> None:
-    """Take records only of versions that the stream has gone over to."""
-    # A host that knows a newer version would apply such a record and one that
-    # does not would skip it: the two would part. Until the stream's own
-    # Upgrade record, every host of every version skips it alike.
+    """Reject records of a version that the stream does not use yet."""
+    # A host that supports a newer version would apply such a record and another
+    # would skip it, so that their states would diverge. Until the stream has an
+    # Upgrade record, hosts of all versions skip it.
     if not RECORD_VERSION <= version <= stream_version:
         raise MalformedMessageError(
-            f"version {version}, the stream is at {stream_version}"
+            f"record version {version}, but the stream is at {stream_version}"
         )
 
 
 def check_upgrade(record: object, stream_version: int) -> None:
-    """Stop before a version that this host cannot fold; it must not guess."""
+    """Raise UnsupportedVersionError before an upgrade that this host cannot fold."""
     if not isinstance(record, Upgrade):
         return
     if record.version == stream_version + 1 and record.version > FOLD_VERSION:
-        raise UnsupportedVersionError(f"fold version {record.version} is not known")
+        raise UnsupportedVersionError(f"fold version {record.version} is not supported")
 
 
 @singledispatch
-def judge_ledger(record: object, state: LedgerState, incarnation: str) -> Verdict:
-    """Return the verdict that a state shows; NOT_READY sends callers to the state."""
+def get_restored_ledger_verdict(
+    record: object, state: LedgerState, incarnation: str
+) -> Verdict:
+    """Return the verdict that a state shows on a record of this host.
+
+    NOT_READY means that it does not show one; the caller must read the state itself.
+    """
     return Rejected(reason=Reason.NOT_READY)
 
 
-@judge_ledger.register
+@get_restored_ledger_verdict.register
 def _(record: TopUp, state: LedgerState, incarnation: str) -> Verdict:
     account = state.accounts.get(record.account)
     if account is None or record.operation not in account.operations:
@@ -206,11 +211,11 @@
     return Accepted(amount=account.operations[record.operation])
 
 
-@judge_ledger.register
+@get_restored_ledger_verdict.register
 def _(record: Intent, state: LedgerState, incarnation: str) -> Verdict:
-    # The state does not tell which of this host's own submissions won, and
-    # another one may be running. Only "not to be run again" is always safe.
-    present = state.intents.get(record.key)
-    if present is not None and present.body_digest != record.body_digest:
+    # The state does not show which of this host's own submissions was accepted, and
+    # another one may be running. Only DUPLICATE, which prevents a run, is safe.
+    intent = state.intents.get(record.key)
+    if intent is not None and intent.body_digest != record.body_digest:
         return Rejected(reason=Reason.KEY_REUSED)
     return Rejected(reason=Reason.DUPLICATE)
--- a/trefoilstage/components/log_client/interfaces.py
+++ b/trefoilstage/components/log_client/interfaces.py
@@ -1,4 +1,4 @@
-"""Say what a stream needs of its source and its fold."""
+"""Define the interfaces that a stream requires of its source and its fold."""
 
 from typing import Any, Protocol
 
@@ -9,51 +9,51 @@
 
 
 class RecordSource(RecordSink, Protocol):
-    """Read and append records, at the log or through a peer."""
+    """Read and append records, directly at the log or through a peer host."""
 
     async def read(self, stream: str, offset: int, *, wait_s: float) -> LogPage:
-        """Return records from an offset on."""
+        """Return records from an offset; wait up to wait_s for the first one."""
 
     async def fetch_state(self, stream: str) -> PackedState | None:
-        """Return a peer's state, where the log has no checkpoint."""
+        """Return a peer's state, for use if the log has no checkpoint."""
 
     async def search(self, stream: str, offset: int) -> LogPage | None:
-        """Return records that the log dropped, from whoever appended or read them."""
+        """Return records dropped by the log, from a host that appended or read them."""
 
     async def is_lost(self, stream: str, offset: int) -> bool:
-        """Tell whether this host is to go on without the record at an offset."""
+        """Return whether this host may skip the lost record at an offset."""
 
     async def is_shared(self, stream: str, offset: int) -> bool:
-        """Tell whether another host, if one lives, has folded up to an offset."""
+        """Return whether another live host, if any, has folded up to an offset."""
 
 
 class StreamFold(Protocol):
-    """Fold one kind of stream; hides its codec, state and checkpoint form."""
+    """Fold one kind of stream; hide its codec, state and checkpoint format."""
 
     @property
     def next_offset(self) -> int:
-        """Return the first offset that is not folded yet."""
+        """Return the next offset to fold."""
 
     def decode(self, data: bytes) -> Any:
-        """Return the envelope in a record's bytes."""
+        """Decode an envelope, or raise MalformedMessageError."""
 
     def encode(self, incarnation: str, sequence: int, record: Any) -> bytes:
-        """Return the bytes of an envelope."""
+        """Encode a record in its envelope."""
 
     def fold(self, offset: int, envelope: Any) -> Verdict:
-        """Apply an envelope at its offset."""
+        """Apply an envelope at its offset and return the verdict."""
 
     def skip(self, offset: int) -> None:
-        """Pass over an offset whose bytes are no record."""
+        """Advance past an offset without a valid record."""
 
     def restore(self, packed: PackedState) -> bool:
-        """Take a state newer than the present one; tell whether it was."""
+        """Replace the state if the packed one is newer; return whether it was."""
 
     def dump(self) -> DumpedState:
-        """Return the present state's bytes."""
+        """Return the current state in serialized form."""
 
     def get_last_sequence(self, incarnation: str) -> int:
         """Return the last sequence folded from an incarnation, or -1."""
 
-    def judge_restored(self, incarnation: str, record: Any) -> Verdict:
-        """Return the verdict that a restored state shows on a record of ours."""
+    def get_restored_verdict(self, incarnation: str, record: Any) -> Verdict:
+        """Return the verdict that a restored state shows on a record of this host."""
--- a/trefoilstage/components/log_client/kept.py
+++ b/trefoilstage/components/log_client/kept.py
@@ -1,4 +1,4 @@
-"""Keep the records that peers may need, read or appended here; pure."""
+"""Cache the records that this host read or appended, for its peers; without I/O."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Sequence
@@ -10,11 +10,11 @@
 
 
 class KeptRecords:
-    """Hold the newest records of each stream, and which of them must not be read.
+    """Cache the newest records of each stream, except those that must not be read.
 
-    A record may come to light after another host has passed over its offset, as with
-    the late answer to its append. Folded here, it would part this host's state from
-    all others'. What lies behind the fence is known from a state alone.
+    A record may turn up after another host has skipped its offset, for example with a
+    late response to its append. If this host folded it, its state would diverge from
+    all others. Offsets up to the fence are therefore known only through a state.
     """
 
     def __init__(self) -> None:
@@ -23,11 +23,11 @@
         self._fenced: dict[str, int] = {}
 
     def add_read(self, stream: str, page: LogPage) -> None:
-        """Keep what was read."""
-        self._tails[stream].keep(self._drop_fenced(stream, page.records))
+        """Add a page that was read from the log or a peer."""
+        self._tails[stream].add(self._drop_fenced(stream, page.records))
 
     def add_appended(self, stream: str, first: int, records: Sequence[bytes]) -> None:
-        """Keep a group that was appended, if the log gave its first offset."""
+        """Add an appended group if the log returned the offset of its first record."""
         if first == NO_OFFSET:
             return
         kept = (
@@ -37,41 +37,44 @@
         self._appended[stream].add(self._drop_fenced(stream, kept))
 
     def find(self, stream: str, offset: int) -> LogPage | None:
-        """Return records from an offset on, None if the first one is not held."""
+        """Return records from an offset, or None if the first one is not cached."""
         page = self.find_end(stream, offset)
         if page is not None and page.records:
             return page
         return self._appended[stream].read(offset)
 
     def find_end(self, stream: str, offset: int) -> LogPage | None:
-        """Return what was read from an offset on, which may be the stream's end."""
+        """Return the records read from an offset, or None if it is not cached.
+
+        The page is empty if the offset is the end of what was read.
+        """
         tail = self._tails.get(stream)
-        if tail is None or not tail.holds(offset):
+        if tail is None or not tail.covers(offset):
             return None
         return tail.read(offset)
 
     def get_tail(self, stream: str) -> RecordTail | None:
-        """Return what was read of a stream, if anything was."""
+        """Return the tail of the records read of a stream, or None if empty."""
         tail = self._tails.get(stream)
         return tail if tail is not None and tail.next_offset else None
 
     def get_next(self, stream: str) -> int:
-        """Return the offset after the last record read."""
+        """Return the offset after the newest record read."""
         return self._tails[stream].next_offset
 
     def fence(self, stream: str, offset: int) -> bool:
-        """Read no record at an offset or before it any more, unless it is held."""
+        """Block the records up to an offset; return False if it is cached."""
         if self.find(stream, offset) is not None:
             return False
         self._fenced[stream] = max(offset, self._fenced.get(stream, offset))
         return True
 
     def is_fenced(self, stream: str, offset: int) -> bool:
-        """Tell whether the record at an offset must not be read."""
+        """Return whether the record at an offset must not be read."""
         return offset <= self._fenced.get(stream, -1)
 
     def find_first_beyond(self, stream: str) -> int:
-        """Return the first offset that may be read."""
+        """Return the first offset after the fence."""
         return self._fenced.get(stream, -1) + 1
 
     def _drop_fenced(
--- a/trefoilstage/components/log_client/loss.py
+++ b/trefoilstage/components/log_client/loss.py
@@ -1,16 +1,16 @@
-"""Decide whether a host goes on past a record that the log dropped unread; pure."""
+"""Decide whether a host may skip a record that the log dropped unread; without I/O."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-# A draw is used by its holder with its witness's word, so that both have folded it.
-# With one of them replaced, the other still answers that it stands further.
+# A holder uses a draw only after its witness has acknowledged it, so both have folded
+# its record. If one of them was replaced, the other still reports the later offset.
 MAX_REPLACED = 1
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PeerPosition:
-    """Hold how far a host has folded a stream, and whether it has the next record."""
+    """Describe a host's next offset to fold and whether it has the record there."""
 
     incarnation: str
     folded: int
@@ -20,7 +20,7 @@
 def leaves_it_to(
     position: PeerPosition | None, name: str, *, host: str, offset: int
 ) -> bool:
-    """Tell whether a host leaves it to another one to pass over the record."""
+    """Return whether a host must leave the decision to skip the record to a peer."""
     if position is None:
         return False
     if position.has_record or position.folded > offset:
@@ -35,19 +35,20 @@
     positions: Mapping[str, PeerPosition | None],
     incarnations: Mapping[str, str],
 ) -> bool:
-    """Tell whether a host may pass over the record at an offset.
-
-    A host that has folded it may have acted upon it, as by a draw: passed over, its
-    tokens would count as free and be spent again. So every host must have answered
-    (None: it has not) that it stands no further, and has no record to give. What a
-    former incarnation of it had folded it can't tell; of `incarnations`, those of the
-    hosts on the list, only one may have been replaced.
-
-    Of those that stand equally far only the first by name goes on, and the others take
-    its state. Each for itself, they could part where the log drops more meanwhile.
+    """Return whether a host may skip the record at an offset.
+
+    A host that has folded the record may have acted on it, for example used a draw. If
+    the others skipped it, the draw's tokens would count as free and be spent again.
+    Therefore every host must have replied (None: it has not) that it is not past the
+    offset and does not have the record. A host cannot know what its previous
+    incarnation had folded, so at most one of the listed hosts, whose incarnations are
+    in `incarnations`, may have been replaced.
+
+    Of several hosts at the same offset only the first by name skips the record, and the
+    others copy its state. If each skipped it alone, their states could diverge when the
+    log drops more records in the meantime.
     """
-    # Without a state there is nothing to go on from; the spend of the whole stream
-    # would be forgotten.
+    # A host without a state would lose the spend of the whole stream.
     if offset == 0:
         return False
     n_replaced = 0
--- a/trefoilstage/components/log_client/reach.py
+++ b/trefoilstage/components/log_client/reach.py
@@ -1,4 +1,4 @@
-"""Judge whether the log is in reach and how long to wait for it; pure."""
+"""Track whether the log is reachable and compute its timeout; without I/O."""
 
 from dataclasses import dataclass
 
@@ -8,10 +8,10 @@
 
 @dataclass(kw_only=True, slots=True)
 class LogReach:
-    """Remember whether the log answered last, and how fast.
+    """Track whether the log replied to the last call, and how fast.
 
-    A log that answers slower than the timeout would otherwise never be heard:
-    each call would be given up and sent again, adding to its load.
+    The timeout grows with the log's response time. With a fixed timeout, every call to
+    a slower log would be aborted and repeated, which adds to its load.
     """
 
     timeout_base_s: float
@@ -22,19 +22,19 @@
         self.timeout_s = self.timeout_base_s
 
     def note_answer(self, duration_s: float) -> bool:
-        """Take an answer; tell whether the log was out of reach before."""
+        """Record a response; return whether the log was unreachable before."""
         was_up = self.up
         self.up = True
-        fitting = min(MAX_TIMEOUT_S, duration_s * SLOW_FACTOR)
-        self.timeout_s = max(self.timeout_base_s, fitting)
+        scaled_timeout_s = min(MAX_TIMEOUT_S, duration_s * SLOW_FACTOR)
+        self.timeout_s = max(self.timeout_base_s, scaled_timeout_s)
         return not was_up
 
     def note_failure(self) -> bool:
-        """Take a failure; tell whether the log was in reach before."""
+        """Record a failure; return whether the log was reachable before."""
         was_up = self.up
         self.up = False
         return was_up
 
     def lengthen_timeout(self) -> None:
-        """Wait longer at the next probe."""
+        """Double the timeout of the next probe."""
         self.timeout_s = min(MAX_TIMEOUT_S, self.timeout_s * 2)
--- a/trefoilstage/components/log_client/stream.py
+++ b/trefoilstage/components/log_client/stream.py
@@ -1,4 +1,4 @@
-"""Follow one stream of the log and fold it."""
+"""Read one stream of the log, fold its records and append this host's records."""
 
 import asyncio
 import random
@@ -11,7 +11,7 @@
 from trefoilstage.components.log_client.checkpoints import (
     CheckpointAssembly,
     CheckpointSchedule,
-    CheckpointWatch,
+    CheckpointTracker,
     DumpedState,
     PackedState,
     compress_state,
@@ -35,16 +35,16 @@
 RETRY_FIRST_S = 0.1
 RETRY_MAX_S = 1.0
 RECORDS_PER_STEP = 50
-# Most appends under way have been answered by then, so that few records are sent again.
+# By then the log has replied to most appends in flight, so that few are sent again.
 LOST_AFTER_S = 1.0
 SHARED_POLL_S = 0.05
 
-Listener = Callable[[int, Any, Verdict], None]
+RecordListener = Callable[[int, Any, Verdict], None]
 RankWriter = Callable[[str], int]
 
 
 class StreamService(Service):
-    """Keep one stream's fold current and append this host's records in order."""
+    """Keep one stream's fold up to date and append this host's records in order."""
 
     def __init__(
         self,
@@ -77,44 +77,45 @@
             decode=fold.decode,
             backoff=make_backoff(generator),
         )
-        self._listeners: list[Listener] = []
+        self._listeners: list[RecordListener] = []
+        # The next offset to read in search of a checkpoint; None while folding.
         self._seek: int | None = None
-        # From when on the next record counts as lost; None while records come.
+        # When the next record starts to count as lost; None while records arrive.
         self._lost_at: float | None = None
         self._assembly = CheckpointAssembly()
-        self._watch = CheckpointWatch()
+        self._watch = CheckpointTracker()
 
     @property
     def n_appends(self) -> int:
-        """Return how many groups were appended."""
+        """Return the number of groups appended."""
         return self._writer.n_appends
 
     @property
     def bytes_appended(self) -> int:
-        """Return how many bytes were appended."""
+        """Return the number of bytes appended."""
         return self._writer.bytes_appended
 
-    def subscribe(self, listener: Listener) -> Callable[[], None]:
-        """Call a listener with each folded record until unsubscribed.
+    def subscribe(self, listener: RecordListener) -> Callable[[], None]:
+        """Call a listener for each folded record; return a function to unsubscribe.
 
-        Records inside a restored state are not told of; look at the state.
+        It is not called for records that a restored state includes.
         """
         self._listeners.append(listener)
         return lambda: self._listeners.remove(listener)
 
     def submit(self, record: Any) -> Ticket:
-        """Queue a record; its ticket resolves with the fold's verdict."""
+        """Queue a record and return a ticket that resolves with the fold's verdict."""
         return self._writer.submit(record)
 
     def withdraw(self, ticket: Ticket) -> bool:
-        """Take back a record that was never sent; tell whether that was so."""
+        """Remove a record from the queue; return False if it may have been sent."""
         return self._writer.withdraw(ticket)
 
     async def wait_for_verdict(self, ticket: Ticket) -> Verdict:
-        """Return a verdict that outlives this host.
+        """Return the verdict once it can no longer be lost with this host.
 
-        A record that only this host has folded may be passed over once the log has
-        dropped it and this host is gone.
+        Peers may skip a record that only this host has folded if the log drops the
+        record and this host is lost.
         """
         verdict = await asyncio.shield(ticket.future)
         if isinstance(verdict, Rejected):
@@ -125,58 +126,58 @@
         return verdict
 
     async def on_start(self) -> None:
-        """Start following and appending."""
-        self._schedule.seen_at = asyncio.get_running_loop().time()
-        # A task that ends with an error ends the host: one that stopped
-        # silently would leave it serving from a state that stands still.
+        """Start the tasks that read and append."""
+        self._schedule.last_seen_at = asyncio.get_running_loop().time()
+        # An error in either task crashes the host. If a task ended silently, the
+        # host would keep serving from a state that is no longer updated.
         self.add_future(self._follow())
         self.add_future(self._writer.run())
 
     async def wait_for_empty_queue(self) -> None:
-        """Wait until every record submitted so far was folded."""
-        futures = self._writer.list_open()
+        """Wait until every record submitted so far has its verdict."""
+        futures = self._writer.list_unresolved()
         if futures:
             await asyncio.wait(futures)
 
     async def _follow(self) -> None:
         while not self.status.halted:
             offset = self.fold.next_offset if self._seek is None else self._seek
-            asked_at = asyncio.get_running_loop().time()
+            requested_at = asyncio.get_running_loop().time()
             try:
                 page = await self._source.read(self.name, offset, wait_s=self._poll_s)
             except RecordsExpiredError as error:
                 self._start_seek(error.earliest)
                 continue
             except LogUnavailableError as error:
-                self._note_unreachable(str(error))
+                self._set_unreachable(str(error))
                 await asyncio.sleep(self._backoff.next_delay())
                 continue
             if page.stale:
-                self._note_unreachable("peers have lost the log too")
+                self._set_unreachable("no reachable peer has access to the log")
             else:
-                self._note_reachable(asked_at)
+                self._set_reachable(requested_at)
             if self._seek is None:
                 await self._fold_page(page)
             else:
                 await self._seek_checkpoint(page, self._seek)
 
-    def _note_unreachable(self, detail: str) -> None:
+    def _set_unreachable(self, detail: str) -> None:
         if self.status.reachable:
             log_event(Event.LOG_LOST, stream=self.name, detail=detail)
         self.status.reachable = False
 
-    def _note_reachable(self, asked_at: float) -> None:
+    def _set_reachable(self, requested_at: float) -> None:
         self._backoff.reset()
         if not self.status.reachable:
             log_event(Event.LOG_BACK, stream=self.name)
         self.status.reachable = True
-        # An answer is no newer than its question. One that lay unread while
-        # this process was stopped would else count as fresh on waking.
-        self.status.last_read = asked_at
+        # The response is at most as recent as its request. If this process was
+        # suspended, a response that waited meanwhile must not count as recent.
+        self.status.last_read = requested_at
 
     def _start_seek(self, earliest: int) -> None:
-        # The records this host still needs are gone. Reading on from the
-        # earliest kept one leads to a checkpoint inside retention.
+        # The log has dropped records that this host still needs. Reading from the
+        # earliest record of the retention leads to a checkpoint.
         if self._seek is None:
             log_event(
                 Event.STATE_EXPIRED,
@@ -198,11 +199,11 @@
         self._seek = position
         if position < page.next_offset:
             return
-        if not await self._recover():
+        if not await self._recover_without_checkpoint():
             await asyncio.sleep(self._backoff.next_delay())
 
-    async def _recover(self) -> bool:
-        """Get on where the log has no checkpoint; tell whether that was possible."""
+    async def _recover_without_checkpoint(self) -> bool:
+        """Continue without a checkpoint in the log; return whether it was possible."""
         packed = await self._source.fetch_state(self.name)
         if packed is not None and self._restore(packed):
             return True
@@ -211,12 +212,13 @@
             self._seek = None
             await self._fold_page(page)
             return True
-        return await self._pass_over_lost()
+        return await self._skip_lost_record()
 
-    async def _pass_over_lost(self) -> bool:
-        # An append whose answer was lost, and which the log dropped before anybody read
-        # it, is known to nobody by its offset. Every host stood before it for good.
-        # Its sender sends it again, so that nothing but the offset is lost.
+    async def _skip_lost_record(self) -> bool:
+        # If the response to an append was lost and the log dropped the record before
+        # any host read it, no host knows the record at that offset, and all hosts were
+        # blocked there permanently. The sender appends the record again, so that only
+        # the offset is lost.
         offset = self.fold.next_offset
         now = asyncio.get_running_loop().time()
         if self._lost_at is None or now < self._lost_at:
@@ -227,13 +229,13 @@
         log_event(Event.RECORD_LOST, stream=self.name, offset=offset)
         self.fold.skip(offset)
         self.status.next_offset = self.fold.next_offset
-        self._note_position()
+        self._resend_lost()
         self._seek = None
         return True
 
-    def _note_position(self) -> None:
-        last = self.fold.get_last_sequence(self._incarnation)
-        self._writer.note_position(self.fold.next_offset, last)
+    def _resend_lost(self) -> None:
+        last_sequence = self.fold.get_last_sequence(self._incarnation)
+        self._writer.resend_lost(self.fold.next_offset, last_sequence)
 
     def _assemble(self, record: LogRecord) -> PackedState | None:
         envelope = self._decode(record)
@@ -257,14 +259,14 @@
         self._seek = None
         self._lost_at = None
         self.status.next_offset = self.fold.next_offset
-        self._schedule.note_checkpoint(
+        self._schedule.record_checkpoint(
             self.fold.next_offset, asyncio.get_running_loop().time()
         )
-        self._writer.take_restored(
+        self._writer.resolve_restored(
             self.fold.get_last_sequence(self._incarnation),
-            lambda record: self.fold.judge_restored(self._incarnation, record),
+            lambda record: self.fold.get_restored_verdict(self._incarnation, record),
         )
-        self._note_position()
+        self._resend_lost()
         log_event(Event.STATE_RESTORED, stream=self.name, offset=packed.offset)
         return True
 
@@ -272,7 +274,7 @@
         for number, record in enumerate(page.records, start=1):
             if record.offset < self.fold.next_offset:
                 continue
-            # A state folded over a missing record parts from all others'.
+            # Folding past a missing record would make this host's state diverge.
             if record.offset > self.fold.next_offset:
                 log_event(Event.LOG_GAP, stream=self.name, offset=record.offset)
                 await asyncio.sleep(self._backoff.next_delay())
@@ -285,8 +287,8 @@
                 await asyncio.sleep(0)
         self.status.next_offset = self.fold.next_offset
         self.status.caught_up = self.fold.next_offset >= page.next_offset
-        self._note_position()
-        self._checkpoint_when_due()
+        self._resend_lost()
+        self._write_checkpoint_if_due()
 
     def _fold_record(self, record: LogRecord) -> bool:
         envelope = self._decode(record)
@@ -300,8 +302,8 @@
             self.status.caught_up = False
             log_event(Event.STREAM_HALTED, stream=self.name, error=str(error))
             return False
-        self._note_checkpoint(envelope)
-        self._writer.take_verdict(envelope, verdict)
+        self._track_checkpoint(envelope)
+        self._writer.apply_verdict(envelope, verdict)
         for listener in self._listeners:
             listener(record.offset, envelope, verdict)
         return True
@@ -311,8 +313,8 @@
             return self.fold.fold(offset, envelope)
         except (UnsupportedVersionError, MemoryError, RecursionError):
             raise
-        # A record that the fold fails on fails on every host alike. Without
-        # this, one such record would end every host at each start.
+        # A record on which the fold fails does so on every host. Without this
+        # handler, one such record would crash every host at each start.
         except Exception as error:
             log_event(
                 Event.RECORD_FAILED,
@@ -335,37 +337,37 @@
             )
             return None
 
-    def _note_checkpoint(self, envelope: Any) -> None:
+    def _track_checkpoint(self, envelope: Any) -> None:
         record = envelope.record
         if not isinstance(record, Checkpoint):
             return
         if self._watch.add(envelope.incarnation, record):
             now = asyncio.get_running_loop().time()
-            self._schedule.note_checkpoint(record.offset, now)
+            self._schedule.record_checkpoint(record.offset, now)
 
-    def _checkpoint_when_due(self) -> None:
+    def _write_checkpoint_if_due(self) -> None:
         offset = self.fold.next_offset
         now = asyncio.get_running_loop().time()
-        if not self.status.caught_up or not self._schedule.is_wanted(offset, now):
+        if not self.status.caught_up or not self._schedule.is_due(offset, now):
             return
-        rank = self._rank_writer(f"{self.name}@{self._schedule.offset}")
-        if not self._schedule.is_turn(rank, now):
+        rank = self._rank_writer(f"{self.name}@{self._schedule.last_offset}")
+        if not self._schedule.is_own_turn(rank, now):
             return
-        self._schedule.writing = True
+        self._schedule.is_writing = True
         self.add_future(self._write_checkpoint(self.fold.dump()))
 
     async def _write_checkpoint(self, dumped: DumpedState) -> None:
         packed = await compress_state(dumped)
-        # Ahead of the queue: after a long outage the records that wait are
-        # of no use to a host that can't find the state before them.
+        # The checkpoint goes ahead of the queue: after a long outage, a host that
+        # cannot find the state before the queued records cannot fold them.
         tickets = self._writer.submit_first(split_checkpoint(packed))
-        tickets[-1].future.add_done_callback(self._end_checkpoint)
+        tickets[-1].future.add_done_callback(self._on_checkpoint_end)
         log_event(Event.CHECKPOINT_WRITTEN, stream=self.name, offset=packed.offset)
 
-    def _end_checkpoint(self, _: object) -> None:
-        self._schedule.writing = False
+    def _on_checkpoint_end(self, _: object) -> None:
+        self._schedule.is_writing = False
 
 
 def make_backoff(generator: random.Random) -> Backoff:
-    """Return the backoff for calls of the log."""
+    """Return the backoff between calls to the log."""
     return Backoff(initial_s=RETRY_FIRST_S, maximum_s=RETRY_MAX_S, generator=generator)
--- a/trefoilstage/components/log_client/streams.py
+++ b/trefoilstage/components/log_client/streams.py
@@ -1,4 +1,4 @@
-"""Own the streams that this host follows."""
+"""Manage the streams that this host reads and appends to."""
 
 import random
 from collections.abc import Callable
@@ -20,11 +20,11 @@
 from trefoilstage.ledger.records import LedgerRecord
 from trefoilstage.util.hashing import pick_stream, rank_by_rendezvous
 
-LedgerStarted = Callable[[int, StreamService], None]
+LedgerListener = Callable[[int, StreamService], None]
 
 
 class Streams(Service):
-    """Start the configuration stream, then each ledger stream it names."""
+    """Start the configuration stream, then the ledger streams that it configures."""
 
     def __init__(
         self,
@@ -44,11 +44,11 @@
         self._checkpoint_interval_s = checkpoint_interval_s
         self._generator = generator
         self._config_fold = ConfigFold(blackboard=blackboard)
-        self.config = self._make(CONFIG_STREAM, self._config_fold)
+        self.config = self._create_stream(CONFIG_STREAM, self._config_fold)
         self.ledgers: dict[int, StreamService] = {}
-        self._ledger_listeners: list[LedgerStarted] = []
+        self._ledger_listeners: list[LedgerListener] = []
 
-    def _make(self, name: str, fold: StreamFold) -> StreamService:
+    def _create_stream(self, name: str, fold: StreamFold) -> StreamService:
         status = StreamStatus()
         self._blackboard.streams[name] = status
         return StreamService(
@@ -59,51 +59,54 @@
             status=status,
             poll_s=self._poll_s,
             schedule=CheckpointSchedule(
-                every=self._checkpoint_every, interval_s=self._checkpoint_interval_s
+                interval_records=self._checkpoint_every,
+                interval_s=self._checkpoint_interval_s,
             ),
             rank_writer=self.rank_writer,
             generator=self._generator,
         )
 
     def rank_writer(self, key: str) -> int:
-        """Return this host's place among the live ones for a task of the key."""
+        """Return this host's rank among the live hosts for the task named by a key."""
         ranked = rank_by_rendezvous(key, self._blackboard.list_presumed_hosts())
         return ranked.index(self._blackboard.host)
 
     async def on_start(self) -> None:
-        """Follow the configuration."""
+        """Start the configuration stream."""
         await self.add_runtime_dependency(self.config)
 
     def warm_up(self) -> None:
-        """Prepare the configuration's fold for the next change."""
+        """Index a few configuration files ahead of the next change."""
         self._config_fold.warm_up()
 
     async def start_ledgers(self) -> None:
-        """Follow each ledger stream of the configuration in force."""
+        """Start each ledger stream of the configuration in force."""
         for number in range(self._blackboard.configuration.fleet.ledger_streams):
             if number in self.ledgers:
                 continue
             fold = LedgerFold(blackboard=self._blackboard, number=number)
-            stream = self._make(f"{LEDGER_STREAM_PREFIX}{number}", fold)
+            stream = self._create_stream(f"{LEDGER_STREAM_PREFIX}{number}", fold)
             self.ledgers[number] = stream
             for listener in self._ledger_listeners:
                 listener(number, stream)
             await self.add_runtime_dependency(stream)
 
-    def subscribe_ledgers(self, listener: LedgerStarted) -> None:
-        """Tell a listener of each ledger stream that starts."""
+    def subscribe_ledgers(self, listener: LedgerListener) -> None:
+        """Call a listener for each ledger stream that is started."""
         self._ledger_listeners.append(listener)
 
     def pick_number(self, account: str) -> int:
-        """Return the number of the stream that holds an account."""
+        """Return the number of the ledger stream of an account."""
         n_streams = self._blackboard.configuration.fleet.ledger_streams
         return pick_stream(account, n_streams)
 
     def submit_ledger(self, number: int, record: LedgerRecord) -> Ticket:
-        """Queue a record; raise StreamNotFollowedError before it is followed."""
+        """Queue a record, or raise StreamNotFollowedError before the stream starts."""
         stream = self.ledgers.get(number)
         if stream is None:
-            raise StreamNotFollowedError(f"ledger stream {number} is not followed yet")
+            raise StreamNotFollowedError(
+                f"ledger stream {number} has not been started yet"
+            )
         return stream.submit(record)
 
     def submit_config(self, record: ConfigRecord) -> Ticket:
@@ -111,27 +114,27 @@
         return self.config.submit(record)
 
     async def pack(self, name: str) -> PackedState | None:
-        """Return a followed stream's state, or None before it is whole."""
+        """Return a stream's packed state, or None if unknown or not caught up."""
         for stream in [self.config, *self.ledgers.values()]:
             if stream.name == name and stream.status.caught_up:
                 return await compress_state(stream.fold.dump())
         return None
 
     def is_halted(self) -> bool:
-        """Tell whether a stream went over to a version this host can't fold."""
+        """Return whether a stream uses a fold version unsupported by this host."""
         streams = [self.config, *self.ledgers.values()]
         return any(stream.status.halted for stream in streams)
 
     def is_caught_up(self) -> bool:
-        """Tell whether every stream has been read to its end."""
-        # The configuration names the ledgers, which are followed a moment later.
-        # A host that served before then would know no account and refuse all.
+        """Return whether every stream has been read to its end."""
+        # The ledger streams start shortly after the configuration is read. A host
+        # that served requests before then would know no account and reject them all.
         if self._blackboard.config.revision >= 0 and not self._blackboard.has_ledgers():
             return False
         streams = [self.config, *self.ledgers.values()]
         return all(stream.status.caught_up for stream in streams)
 
     async def flush(self) -> None:
-        """Wait until everything submitted was folded."""
+        """Wait until every record submitted so far has its verdict."""
         for stream in [self.config, *self.ledgers.values()]:
             await stream.wait_for_empty_queue()
--- a/trefoilstage/components/log_client/tail.py
+++ b/trefoilstage/components/log_client/tail.py
@@ -1,4 +1,4 @@
-"""Keep the newest records of a stream in memory, for peers cut from the log."""
+"""Cache the newest records of a stream for peers that cannot reach the log."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -12,7 +12,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class RecordTail:
-    """Hold an unbroken run of records within a limit of bytes."""
+    """Store consecutive records up to a limit in bytes."""
 
     max_bytes: int = MAX_TAIL_BYTES
     records: deque[LogRecord] = field(default_factory=deque)
@@ -21,11 +21,11 @@
 
     @property
     def earliest(self) -> int:
-        """Return the first offset held."""
+        """Return the offset of the oldest record."""
         return self.next_offset - len(self.records)
 
-    def keep(self, records: Iterable[LogRecord]) -> None:
-        """Add records that follow on; start afresh after a gap."""
+    def add(self, records: Iterable[LogRecord]) -> None:
+        """Append consecutive records; after a gap drop the older ones."""
         for record in records:
             if record.offset < self.next_offset:
                 continue
@@ -38,18 +38,18 @@
             while self.n_bytes > self.max_bytes:
                 self.n_bytes -= len(self.records.popleft().data)
 
-    def holds(self, offset: int) -> bool:
-        """Tell whether a read from an offset can be answered from here."""
+    def covers(self, offset: int) -> bool:
+        """Return whether a read from an offset can be served from this cache."""
         return self.earliest <= offset <= self.next_offset and self.next_offset > 0
 
     def read(self, offset: int) -> LogPage:
-        """Return the records from an offset on, within a page's size."""
+        """Return the records from an offset, up to MAX_PAGE_BYTES."""
         page: list[LogRecord] = []
-        size = 0
+        n_page_bytes = 0
         for index in range(offset - self.earliest, len(self.records)):
             record = self.records[index]
-            size += len(record.data)
-            if page and size > MAX_PAGE_BYTES:
+            n_page_bytes += len(record.data)
+            if page and n_page_bytes > MAX_PAGE_BYTES:
                 break
             page.append(record)
         return LogPage(records=tuple(page), next_offset=self.next_offset)
