--- a/trefoilstage/components/log_client/kept.py
+++ b/trefoilstage/components/log_client/kept.py
@@ -3,7 +3,7 @@
 from collections import defaultdict
 from collections.abc import Iterable, Sequence
 
-from trefoilstage.components.log_client.appended import AppendedRecords
+from trefoilstage.components.log_client.appended_records import AppendedRecords
 from trefoilstage.components.log_client.client import LogPage, LogRecord
 from trefoilstage.components.log_client.tail import RecordTail
 from trefoilstage.const import NO_OFFSET
