--- a/tests/components/test_stream.py
+++ b/tests/components/test_stream.py
@@ -52,7 +52,7 @@
             self.next_offset += 1
         if self.lose_answers > 0:
             self.lose_answers -= 1
-            raise LogUnavailableError("answer lost")
+            raise LogUnavailableError("response lost")
         return first
 
     async def read(self, stream: str, offset: int, *, wait_s: float) -> LogPage:
--- a/trefoilstage/configuration/merge.py
+++ b/trefoilstage/configuration/merge.py
@@ -153,8 +153,8 @@
     for number, raw in enumerate(text.splitlines(), start=1):
         line = raw.strip()
         if line.startswith("["):
-            head = line.strip("[]").split("#")[0].strip(" ]")
-            prefix = split_key(head)
+            table_name = line.strip("[]").split("#")[0].strip(" ]")
+            prefix = split_key(table_name)
             key_path = prefix
         elif "=" in line and not line.startswith("#"):
             key_path = prefix + split_key(line.split("=", 1)[0])
@@ -175,7 +175,7 @@
 def check_references(
     configuration: Configuration,
 ) -> Iterator[tuple[tuple[str, ...], str]]:
-    """Yield the path and message of each missing reference or key used twice."""
+    """Yield the path and message of each missing entry or API key used twice."""
     owners: dict[str, str] = {}
     for name, workspace in sorted(configuration.workspaces.items()):
         if workspace.budget not in configuration.budgets:
--- a/trefoilstage/configuration/schema.py
+++ b/trefoilstage/configuration/schema.py
@@ -15,7 +15,7 @@
 
 
 class Preference(StrEnum):
-    """Enumerate what a budget's owner prefers to avoid when the two conflict."""
+    """Enumerate which error a budget's owner prefers to avoid."""
 
     AVOID_REFUSALS = "avoid-refusals"
     AVOID_OVERSPEND = "avoid-overspend"
--- a/trefoilstage/ledger/records.py
+++ b/trefoilstage/ledger/records.py
@@ -64,7 +64,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Draw:
-    """Move tokens or watts from an account to a draw, or open the draw with them."""
+    """Move tokens or watts from an account to a draw.
+
+    At least `minimum` and at most `amount` are granted. `opens` allows a new draw.
+    """
 
     draw: Name
     account: Name
@@ -86,7 +89,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Settle:
-    """Report a draw's cumulative spend and the requests to bill, or close the draw.
+    """Report a draw's cumulative spend and the requests to bill.
 
     The requests account for the spend between the totals `before` and `spent`, in
     the order in which they ended. A final settlement closes the draw.
@@ -144,7 +147,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Outcome:
-    """Store the result of the run that an intent claimed."""
+    """Store the result of the run that an intent claimed.
+
+    It is not `known` if the service gave no complete response, and not `whole` if the
+    response was too large to store.
+    """
 
     key: Name
     status: int
--- a/trefoilstage/ledger/state.py
+++ b/trefoilstage/ledger/state.py
@@ -59,7 +59,10 @@
 
 @dataclass(kw_only=True, slots=True)
 class AccountState:
-    """Describe an account: the tokens or watts paid, held by draws and spent."""
+    """Describe an account: the tokens or watts paid, held by draws and spent.
+
+    The credit is what repeated runs of a key spent without being billed.
+    """
 
     limit: int = 0
     revision: int = -1
@@ -98,7 +101,11 @@
 
 @dataclass(kw_only=True, slots=True)
 class LedgerState:
-    """Represent the state of a ledger stream before the next offset to fold."""
+    """Represent the state of a ledger stream before the next offset to fold.
+
+    `billed` and `doubtful` have the billed tokens and the holds in doubt by account
+    and key, `sequences` the newest sequence of each incarnation.
+    """
 
     fold_version: int = 1
     next_offset: int = 0
