--- a/tests/util/__init__.py
+++ b/tests/util/__init__.py
@@ -1,1 +1,1 @@
-"""Test the helpers that know nothing of the product."""
+"""Test the general utilities."""
--- a/tests/util/test_stalls.py
+++ b/tests/util/test_stalls.py
@@ -1,4 +1,4 @@
-"""Test that a process that stood still is noticed, and why it did."""
+"""Test that a stall of the process is detected with the CPU time it used."""
 
 import unittest
 
@@ -6,10 +6,10 @@
 
 
 class StallWatchTest(unittest.TestCase):
-    """Test ticks that come late."""
+    """Test late ticks."""
 
-    def test_late_tick_tells_what_the_process_did_meanwhile(self) -> None:
-        """Suspend a process between two ticks, then keep it busy between two others."""
+    def test_late_tick_reports_delay_and_cpu_time(self) -> None:
+        """Delay one tick without CPU time (suspended) and one with it (busy)."""
         watch = StallWatch(interval_s=0.25)
         self.assertIsNone(watch.note_tick(10.0, 1.0))
         self.assertIsNone(watch.note_tick(10.3, 1.2))
--- a/tests/util/test_startup.py
+++ b/tests/util/test_startup.py
@@ -1,4 +1,4 @@
-"""Test that a host's start costs no more than it needs."""
+"""Test that a host skips unneeded work at startup."""
 
 import gc
 import importlib.util
@@ -12,19 +12,19 @@
 from trefoilstage.util.startup import prepare_imports, start_collector
 
 ROOT = Path(__file__).parent.parent.parent
-# The fleets of the tests start these; a host loads most of the first.
+# The test fleets start processes from both; a host imports most of the first.
 PACKAGES = ("trefoilstage", "standins")
 
 
 class CompiledModulesTest(unittest.TestCase):
-    """Test that processes find their modules compiled."""
+    """Test that the bytecode of all modules is cached."""
 
-    def test_modules_were_compiled_before_the_tests(self) -> None:
-        """Look for the bytecode of all modules.
+    def test_modules_are_compiled_before_the_tests(self) -> None:
+        """Look for the cached bytecode of every module.
 
-        Where Python may not write bytecode, each of a fleet's processes compiled
-        every module again. Twelve hosts that start at once beside other work then
-        had not listened when the launcher's 30 s were over.
+        Where Python may not write bytecode, each process of a fleet compiles every
+        module itself. Twelve hosts started at once on a busy machine were then not
+        listening within the launcher's timeout of 30 s.
         """
         missing = [
             str(path)
@@ -36,13 +36,13 @@
 
 
 class StartupTest(unittest.TestCase):
-    """Test what is left out while modules are loaded."""
+    """Test the work that is skipped during imports."""
 
     def tearDown(self) -> None:
         gc.unfreeze()
         gc.enable()
 
-    def test_collector_is_off_only_while_modules_are_loaded(self) -> None:
+    def test_garbage_collector_is_off_only_during_imports(self) -> None:
         with mock.patch.dict(os.environ):
             prepare_imports()
             self.assertFalse(gc.isenabled())
@@ -50,7 +50,7 @@
         self.assertTrue(gc.isenabled())
         self.assertGreater(gc.get_freeze_count(), 0)
 
-    def test_no_certificates_are_read_when_the_http_library_is_loaded(self) -> None:
+    def test_importing_aiohttp_loads_no_certificates(self) -> None:
         code = (
             "from trefoilstage.util.startup import prepare_imports\n"
             "prepare_imports()\n"
--- a/trefoilstage/util/__init__.py
+++ b/trefoilstage/util/__init__.py
@@ -1,1 +1,1 @@
-"""Hold what knows nothing of the product: hashing, back-off, mappings."""
+"""Provide general utilities: hashing, retry back-off, stall detection, startup."""
--- a/trefoilstage/util/backoff.py
+++ b/trefoilstage/util/backoff.py
@@ -1,26 +1,26 @@
-"""Space out retries."""
+"""Compute exponential back-off delays with jitter."""
 
 import random
 from dataclasses import dataclass, field
 
-GROWTH = 2.0
+GROWTH_FACTOR = 2.0
 
 
 @dataclass(kw_only=True, slots=True)
 class Backoff:
-    """Grow the delay between retries, with jitter so that hosts spread out."""
+    """Compute exponential retry delays; the jitter keeps hosts out of step."""
 
     initial_s: float
     maximum_s: float
     generator: random.Random = field(default_factory=random.Random)
-    _ceiling_s: float = 0.0
+    _max_delay_s: float = 0.0
 
     def next_delay(self) -> float:
-        """Return how long to wait before the next retry, in seconds."""
-        grown = max(self.initial_s, self._ceiling_s * GROWTH)
-        self._ceiling_s = min(self.maximum_s, grown)
-        return self._ceiling_s * self.generator.uniform(0.5, 1.0)
+        """Return the delay before the next retry, in seconds."""
+        grown = max(self.initial_s, self._max_delay_s * GROWTH_FACTOR)
+        self._max_delay_s = min(self.maximum_s, grown)
+        return self._max_delay_s * self.generator.uniform(0.5, 1.0)
 
     def reset(self) -> None:
-        """Start again from the shortest delay."""
-        self._ceiling_s = 0.0
+        """Reset the delay to its initial value."""
+        self._max_delay_s = 0.0
--- a/trefoilstage/util/hashing.py
+++ b/trefoilstage/util/hashing.py
@@ -1,4 +1,4 @@
-"""Hash keys and rank hosts for them."""
+"""Hash keys and rank names for a key by rendezvous hashing."""
 
 import hashlib
 import json
@@ -7,12 +7,13 @@
 
 import xxhash
 
-# Accounts and targets of one host; each holds a tuple of names, shared by most.
-MAX_RANKINGS = 512
+# Covers the accounts and targets of one host. An entry costs little memory, because
+# most entries share one tuple of names.
+RANKING_CACHE_SIZE = 512
 
 
 def hash_secret(secret: str) -> str:
-    """Return the SHA-256 of a bearer key; only this form is stored."""
+    """Return the SHA-256 digest of a bearer key; the key itself is not stored."""
     return hashlib.sha256(secret.encode()).hexdigest()
 
 
@@ -22,44 +23,45 @@
 
 
 def hash_call(name: str, body: bytes) -> str:
-    """Return a digest that tells two calls apart, whatever their JSON spacing."""
+    """Return a digest of a call that ignores JSON spacing and key order."""
     head = f"{len(name)}:{name}:".encode()
     return hashlib.sha256(head + make_canonical(body)).hexdigest()
 
 
 def make_canonical(body: bytes) -> bytes:
-    """Return JSON with sorted keys and no spaces, any other bytes as they are."""
+    """Return JSON with sorted keys and no spaces; return other bytes unchanged."""
     try:
-        value = json.loads(body, object_pairs_hook=read_object)
+        value = json.loads(body, object_pairs_hook=parse_object)
         return json.dumps(value, sort_keys=True, separators=(",", ":")).encode()
     except (ValueError, RecursionError):
         return body
 
 
-def read_object(pairs: list[tuple[str, object]]) -> dict[str, object]:
-    """Return an object, or raise ValueError when a key stands twice in it."""
+def parse_object(pairs: list[tuple[str, object]]) -> dict[str, object]:
+    """Return a JSON object, or raise ValueError if it has a duplicate key."""
     value = dict(pairs)
-    # Readers differ on which of two equal keys counts; such bodies stay apart.
+    # JSON parsers differ in which duplicate they keep, so a body with duplicate keys
+    # is not canonicalized.
     if len(value) != len(pairs):
-        raise ValueError("a key stands twice")
+        raise ValueError("JSON object has a duplicate key")
     return value
 
 
 def rank_by_rendezvous(key: str, names: Iterable[str]) -> list[str]:
-    """Return the names in highest-random-weight order for a key."""
+    """Return the names in rendezvous (highest random weight) order for a key."""
     return list(rank_names(key, tuple(names)))
 
 
-@lru_cache(maxsize=MAX_RANKINGS)
+@lru_cache(maxsize=RANKING_CACHE_SIZE)
 def rank_names(key: str, names: tuple[str, ...]) -> tuple[str, ...]:
-    """Return the order for a key; the same few are asked for again and again."""
+    """Return the rendezvous order for a key, cached because few orders are used."""
 
-    def weigh(name: str) -> tuple[int, str]:
+    def compute_weight(name: str) -> tuple[int, str]:
         return xxhash.xxh3_64_intdigest(f"{key}|{name}".encode()), name
 
-    return tuple(sorted(names, key=weigh, reverse=True))
+    return tuple(sorted(names, key=compute_weight, reverse=True))
 
 
 def pick_stream(account: str, n_streams: int) -> int:
-    """Return the number of the ledger stream that holds an account."""
+    """Return the index of the ledger stream that an account hashes to."""
     return int(xxhash.xxh3_64_intdigest(account.encode()) % n_streams)
--- a/trefoilstage/util/process_start.py
+++ b/trefoilstage/util/process_start.py
@@ -1,28 +1,28 @@
-"""Tell when this process started, by a clock that outlives processes."""
+"""Record when this process started, on a clock that all processes share."""
 
 import time
 from dataclasses import dataclass
 from pathlib import Path
 
-# Linux draws it anew at each start of the machine, as its steady clock begins anew.
-BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
+# Linux generates a new boot ID, and restarts the monotonic clock, at each boot.
+BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ProcessStart:
-    """Hold a moment of the machine's steady clock and the boot that it counts from."""
+    """Represent a process start on the monotonic clock of one boot of the machine."""
 
-    boot: str  # empty if the machine does not tell
-    at: float  # seconds of the steady clock
-    offset: float  # seconds from the steady clock to the time of day
+    boot: str  # boot ID; empty if it could not be read
+    at: float  # monotonic clock, in seconds
+    offset: float  # wall clock minus monotonic clock, in seconds
 
 
 def read_process_start() -> ProcessStart:
-    """Return the present moment; called first of all by a process."""
+    """Return the current time as the process start; call it first in a process."""
     try:
-        boot = BOOT_ID.read_text().strip()
+        boot = BOOT_ID_PATH.read_text().strip()
     except OSError:
-        # Without it a clock that began anew can't be told from one that went on.
+        # Without a boot ID, a reboot can't be detected from the monotonic clock.
         boot = ""
     now = time.monotonic()
     return ProcessStart(boot=boot, at=now, offset=time.time() - now)
--- a/trefoilstage/util/stalls.py
+++ b/trefoilstage/util/stalls.py
@@ -1,46 +1,46 @@
-"""Notice that a process stood still between two ticks; pure."""
+"""Detect that a process did not run between two ticks; no I/O."""
 
 from dataclasses import dataclass
 
-# Heartbeats and objectives are of this order: a host that stood still for less is
-# not told from one that is busy.
+# Heartbeat intervals and latency objectives are of this order: a shorter stall can't be
+# distinguished from a busy host.
 STALLED_S = 0.25
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Stall:
-    """Hold how late a tick came, and the processor time used meanwhile, in seconds."""
+    """Describe how late a tick came and the CPU time used since the previous one."""
 
     late_s: float
     processor_s: float
 
 
 def stood_still(due: float, now: float) -> bool:
-    """Tell whether a timer came so late that its process can't have run meanwhile."""
+    """Return whether a timer fired so late that its process must have stalled."""
     return now - due >= STALLED_S
 
 
 class StallWatch:
-    """Compare ticks with their interval.
+    """Detect stalls by comparing the time between ticks with their interval.
 
-    A stall without processor time was forced on the process from outside: it was
-    suspended, or other processes had the processor. One with as much processor time
-    was a long step of its own.
+    If the process used no CPU time during a stall, the cause was outside it: it was
+    suspended, or other processes had the CPU. If the CPU time is about as long as the
+    stall, one step of the process itself took that long.
     """
 
     def __init__(self, *, interval_s: float) -> None:
         self._interval_s = interval_s
-        self._now: float | None = None
-        self._processor_s = 0.0
+        self._last_tick_at: float | None = None
+        self._last_processor_s = 0.0
 
     def note_tick(self, now: float, processor_s: float) -> Stall | None:
-        """Take a tick; return the stall before it, if there was one."""
-        before, self._now = self._now, now
-        used_s = processor_s - self._processor_s
-        self._processor_s = processor_s
-        if before is None:
+        """Record a tick and return the stall that preceded it, if any."""
+        previous_tick_at, self._last_tick_at = self._last_tick_at, now
+        used_s = processor_s - self._last_processor_s
+        self._last_processor_s = processor_s
+        if previous_tick_at is None:
             return None
-        late_s = now - before - self._interval_s
+        late_s = now - previous_tick_at - self._interval_s
         if late_s < STALLED_S:
             return None
         return Stall(late_s=late_s, processor_s=used_s)
--- a/trefoilstage/util/startup.py
+++ b/trefoilstage/util/startup.py
@@ -1,23 +1,23 @@
-"""Load modules with less processor time, so that a host listens sooner."""
+"""Reduce the CPU time of imports, so that a host listens sooner."""
 
 import gc
 import os
 
 
 def prepare_imports() -> None:
-    """Leave out what loading modules costs and a host doesn't need.
+    """Skip work during imports that a host does not need.
 
-    The HTTP library reads the machine's certificates when it is imported, though all
-    addresses are plain HTTP. What is loaded stays for good, and the collector would
-    look through all of it again and again. Both count while the callers of a killed
-    host are turned away, and where many hosts start at once on a busy machine.
+    aiohttp loads the system's CA certificates when it is imported, although all
+    addresses are plain HTTP. Imported objects are never freed, and the garbage
+    collector would scan them repeatedly. The time saved matters while callers are
+    refused after a host was killed, and when many hosts start on a busy machine.
     """
     os.environ.setdefault("SSL_CERT_FILE", os.devnull)
     gc.disable()
 
 
 def start_collector() -> None:
-    """Collect garbage from now on, leaving out what was loaded at the start."""
+    """Enable the garbage collector, exempting all objects loaded so far."""
     gc.collect()
     gc.freeze()
     gc.enable()
