--- a/tests/components/views/__init__.py
+++ b/tests/components/views/__init__.py
@@ -1,1 +1,1 @@
-"""Test the views components."""
+"""Test the views of keyed topics."""
--- a/tests/components/views/test_keyed_view.py
+++ b/tests/components/views/test_keyed_view.py
@@ -1,4 +1,4 @@
-"""Test that a view never goes back, whatever order records arrive in."""
+"""Test that a view never returns to an older value, whatever the record order."""
 
 import random
 import unittest
@@ -7,18 +7,17 @@
 
 
 def make_record(offset: int, key: str, value: bytes | None) -> KeyedRecord:
-    """Return a record."""
     return KeyedRecord(key=key, offset=offset, value=value)
 
 
 class KeyedViewTest(unittest.TestCase):
-    """Test the merge of records and listings."""
+    """Test merging records and listings."""
 
-    def test_any_order_gives_the_newest(self) -> None:
+    def test_newest_record_wins_in_any_order(self) -> None:
         """Merge the same records in random orders, some of them twice.
 
-        The store's answers may come from an old state and peers lag, so a host
-        gets records late and again. A configuration must never go back.
+        Stale replies of the store and lagging peers deliver records late and more
+        than once; an old record must not replace a newer configuration.
         """
         generator = random.Random(7)
         records = [
@@ -39,8 +38,8 @@
             self.assertEqual(view.records, newest)
             self.assertEqual(view.next_offset, 40)
 
-    def test_old_listing_brings_nothing_back(self) -> None:
-        """Take a listing that was made before the newest records were read."""
+    def test_stale_listing_restores_nothing(self) -> None:
+        """Merge a listing that is older than records already merged."""
         view = KeyedView()
         view.merge([make_record(5, "config", b"new"), make_record(6, "later", b"x")])
         view.merge_listing([make_record(2, "config", b"old")], 4)
@@ -48,21 +47,21 @@
         self.assertEqual(view.records["later"].value, b"x")
         self.assertEqual(view.next_offset, 7)
 
-    def test_listing_without_a_key_drops_it(self) -> None:
-        """Miss the record that dropped a key, whose history has expired."""
+    def test_listing_without_a_key_deletes_it(self) -> None:
+        """Learn of a deletion from a listing only, as its record has expired."""
         view = KeyedView()
         view.merge([make_record(1, "gone", b"x"), make_record(2, "kept", b"y")])
         changed = view.merge_listing([make_record(2, "kept", b"y")], 10)
         self.assertEqual([(item.key, item.value) for item in changed], [("gone", None)])
 
-    def test_unchanged_value_is_no_change(self) -> None:
+    def test_unchanged_value_is_not_reported(self) -> None:
         """Merge the same value at a later offset."""
         view = KeyedView()
         view.merge([make_record(1, "a", b"x")])
         self.assertEqual(view.merge([make_record(2, "a", b"x")]), [])
 
-    def test_peer_gets_what_it_lacks(self) -> None:
-        """Pass on the records from an offset on, dropped keys among them."""
+    def test_peer_gets_missing_records(self) -> None:
+        """Merge another view's records from an offset on, including deleted keys."""
         view = KeyedView()
         view.merge([make_record(1, "a", b"x"), make_record(4, "b", None)])
         other = KeyedView()
--- a/trefoilstage/components/views/__init__.py
+++ b/trefoilstage/components/views/__init__.py
@@ -1,1 +1,1 @@
-"""Follow the store's keyed topics and share them between hosts."""
+"""Follow the store's keyed topics and share their records between hosts."""
--- a/trefoilstage/components/views/follower.py
+++ b/trefoilstage/components/views/follower.py
@@ -1,4 +1,4 @@
-"""Follow a keyed topic of the store."""
+"""Keep a view up to date with a keyed topic of the store."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,16 +15,16 @@
 from trefoilstage.fleet_board import FleetBoard
 from trefoilstage.helpers.events import Event, log_event
 
-# Short enough that a configuration is read well within its 2 s after an outage
-# ends, long enough that a dead store gets five calls a second from a host.
-RETRY_S = 0.2
+# Short enough to read a new configuration well within the required 2 s after an
+# outage; limits a store that does not respond to five calls per second from a host.
+RETRY_INTERVAL_S = 0.2
 
-OnChange = Callable[[list[KeyedRecord]], None]
+ChangeCallback = Callable[[list[KeyedRecord]], None]
 GetPause = Callable[[], float]
 
 
 class ViewFollower(Service):
-    """Merge a topic's records into a view and tell who listens of changes."""
+    """Merge a topic's records into a view and pass changes to a callback."""
 
     def __init__(
         self,
@@ -34,44 +34,44 @@
         topic: Topic,
         wait_s: float,
         get_pause: GetPause,
-        on_change: OnChange,
+        on_change: ChangeCallback,
     ) -> None:
         super().__init__()
         self._board = board
         self._store = store
         self._topic = topic
-        self._wait_s = wait_s  # how long the store may hold a read back
-        self._get_pause = get_pause  # seconds between two reads
+        self._wait_s = wait_s  # the longest that the store may wait for new records
+        self._get_pause = get_pause  # returns the seconds until the next read
         self._on_change = on_change
-        self._listed = False
+        self._has_listing = False
         self.view = KeyedView()
 
     async def on_start(self) -> None:
-        """Start following."""
-        self.add_future(self._follow())
+        """Start reading the topic."""
+        self.add_future(self._follow_topic())
 
     def merge(self, records: list[KeyedRecord]) -> None:
-        """Take in records that a peer passed on."""
-        self._tell(self.view.merge(records))
+        """Merge records received from a peer."""
+        self._notify(self.view.merge(records))
 
-    async def _follow(self) -> None:
+    async def _follow_topic(self) -> None:
         while True:
             try:
-                await self._read()
+                await self._read_changes()
             except OffsetExpiredError:
-                self._listed = False
+                self._has_listing = False
             except StoreUnavailableError as error:
                 self._board.store.note_failure(self._now(), str(error))
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_INTERVAL_S)
             else:
                 await asyncio.sleep(self._get_pause())
 
-    async def _read(self) -> None:
-        if not self._listed:
+    async def _read_changes(self) -> None:
+        if not self._has_listing:
             listing = await self._store.list_newest(self._topic)
             self._board.store.note_answer(self._now())
             changed = self.view.merge_listing(listing.records, listing.end_offset)
-            self._listed = True
+            self._has_listing = True
             log_event(
                 Event.VIEW_LISTED, topic=self._topic, offset=self.view.next_offset
             )
@@ -79,13 +79,13 @@
             listing = await self._store.read(
                 self._topic, self.view.next_offset, self._wait_s
             )
-            # Before the records are told: a target whose entry lapsed during an
-            # outage must be seen as one that may come back.
+            # The board must show that the store is reachable before the callback runs:
+            # a target whose entry expired during the outage may register again.
             self._board.store.note_answer(self._now())
             changed = self.view.merge(listing.records)
-        self._tell(changed)
+        self._notify(changed)
 
-    def _tell(self, changed: list[KeyedRecord]) -> None:
+    def _notify(self, changed: list[KeyedRecord]) -> None:
         if changed:
             self._on_change(changed)
 
--- a/trefoilstage/components/views/keyed_view.py
+++ b/trefoilstage/components/views/keyed_view.py
@@ -1,4 +1,4 @@
-"""Hold the newest value of each key of a topic; pure."""
+"""Merge the records of a topic into the newest value of each key; no I/O."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KeyedRecord:
-    """Hold a key's value at an offset; without a value the key is dropped."""
+    """Represent a key's value at an offset; a value of None deletes the key."""
 
     key: str
     offset: int
@@ -18,17 +18,17 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Change(Generic[ValueT]):
-    """Hold a value that took the place of another."""
+    """Represent the new value of a key; None if the key was deleted."""
 
     key: str
     value: ValueT | None
 
 
 class KeyedView:
-    """Merge records from any source into the newest of each key.
+    """Keep the newest record of each key, whatever source the records come from.
 
-    A record's offset decides, not the order of arrival. A store that answers from
-    an old state and a peer that lags can therefore never bring back an older
+    The record with the highest offset wins, regardless of the order of arrival. A
+    stale reply of the store or of a lagging peer can therefore never restore an older
     configuration or a target that has left.
     """
 
@@ -37,7 +37,7 @@
         self.next_offset = 0
 
     def merge(self, records: Iterable[KeyedRecord]) -> list[KeyedRecord]:
-        """Take in records and return those that changed a key's value."""
+        """Merge records and return those that changed a key's value."""
         changed: list[KeyedRecord] = []
         for record in records:
             known = self.records.get(record.key)
@@ -52,25 +52,28 @@
     def merge_listing(
         self, records: list[KeyedRecord], end_offset: int
     ) -> list[KeyedRecord]:
-        """Take in a whole listing; keys not in it were dropped before its end."""
+        """Merge a complete listing; a missing key was deleted before `end_offset`."""
         listed = {record.key for record in records}
-        dropped = [
+        deleted = [
             KeyedRecord(key=key, offset=end_offset - 1, value=None)
             for key, known in self.records.items()
             if key not in listed
             and known.value is not None
             and known.offset < end_offset - 1
         ]
-        changed = self.merge([*records, *dropped])
+        changed = self.merge([*records, *deleted])
         self.next_offset = max(self.next_offset, end_offset)
         return changed
 
     def trim(self, max_records: int) -> None:
-        """Keep the newest records, dropped keys among them."""
+        """Drop all but the newest `max_records` once there are twice as many.
+
+        Records of deleted keys count too.
+        """
         if len(self.records) > 2 * max_records:
             newest = sorted(self.records.values(), key=lambda item: item.offset)
             self.records = {item.key: item for item in newest[-max_records:]}
 
     def list_since(self, offset: int) -> list[KeyedRecord]:
-        """Return the records from an offset on, dropped keys among them."""
+        """Return the records from an offset on, including those of deleted keys."""
         return [item for item in self.records.values() if item.offset >= offset]
--- a/trefoilstage/components/views/store.py
+++ b/trefoilstage/components/views/store.py
@@ -1,4 +1,4 @@
-"""Define the store that the hosts share, as the parts need it."""
+"""Define the interface of the store of keyed topics that all hosts share."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class Topic(StrEnum):
-    """Name the keyed topics that the parts read."""
+    """List the keyed topics of the store."""
 
     CONFIGURATION = "configuration"
     TARGETS = "targets"
@@ -21,20 +21,20 @@
 
 
 class StoreUnavailableError(NotReadyError):
-    """Report that the store gave no answer; a write may have taken effect."""
+    """Report that the store did not reply; a write may have taken effect."""
 
 
 class StoreRefusedError(StoreUnavailableError):
-    """Report that the store refused a call; nothing was done."""
+    """Report that the store refused a call; the call had no effect."""
 
 
 class OffsetExpiredError(TrefoilstageError):
-    """Report that the store no longer keeps the offset asked for."""
+    """Report that the store no longer keeps the requested offset."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Listing:
-    """Hold the newest record of each key, and the offset that follows them."""
+    """Represent records read from a topic and the offset that follows them."""
 
     records: list[KeyedRecord]
     end_offset: int
@@ -44,12 +44,15 @@
     """Read and write keyed topics."""
 
     async def list_newest(self, topic: Topic, partition: int = 0) -> Listing:
-        """Return the newest record of each key."""
+        """Return the newest record of each key in a partition."""
 
     async def read(
         self, topic: Topic, offset: int, wait_s: float, partition: int = 0
     ) -> Listing:
-        """Return the records from an offset on; wait for one if there is none."""
+        """Return the records from an offset on; wait up to `wait_s` if none exist.
+
+        Raise OffsetExpiredError if the store no longer keeps the offset.
+        """
 
     async def put(
         self,
@@ -60,4 +63,7 @@
         partition: int = 0,
         at: int | None = None,
     ) -> int | None:
-        """Write a key and return its offset, None if the topic didn't end at `at`."""
+        """Write a key's value and return its offset; a value of None deletes the key.
+
+        With `at`, write only if the topic ends at that offset, else return None.
+        """
