--- a/tests/helpers/__init__.py
+++ b/tests/helpers/__init__.py
@@ -1,1 +1,1 @@
-"""Provide the helpers package."""
+"""Test the shared helpers."""
--- a/tests/helpers/test_fleet_dump.py
+++ b/tests/helpers/test_fleet_dump.py
@@ -1,4 +1,4 @@
-"""Test that a forwarding host's dump holds no key."""
+"""Test that the state dump of a forwarding host contains no key."""
 
 import json
 import unittest
@@ -10,12 +10,12 @@
 
 
 class FleetDumpTest(unittest.TestCase):
-    """Test the dump of a board."""
+    """Test the dump of a fleet board."""
 
     def test_keys_are_left_out(self) -> None:
-        """Dump a board whose configuration holds keys in clear.
+        """Dump a board whose configuration contains plain-text keys.
 
-        Whoever reads a dump could otherwise call in a workspace's name.
+        With a key, a reader of the dump could make calls as that workspace.
         """
         data = encode_configuration(1, prepaid=1_000).replace(b'"key"', b'"s3cret"')
         board = FleetBoard(host="h", incarnation="h-1", data_center="brest")
--- a/tests/helpers/test_stories.py
+++ b/tests/helpers/test_stories.py
@@ -1,4 +1,4 @@
-"""Test that a request's story is told over all hosts."""
+"""Test the history of a request over all hosts, and the metrics page."""
 
 import unittest
 
@@ -14,25 +14,29 @@
 timestamp=4.1 message_type=request_sent request=b2 target=i-1 workspace=lorient
 timestamp=4.5 message_type=request_refused detail="reset by peer" request=a1
 timestamp=5.0 message_type=config_in_force version=5
-not a line of ours
+not a log line of this program
 """
 
 
-class StoryTest(unittest.TestCase):
-    """Test the lines that belong to one request."""
+class RequestHistoryTest(unittest.TestCase):
+    """Test which log lines belong to the history of a request."""
 
-    def test_story_holds_what_was_believed_when_the_request_came(self) -> None:
+    def test_history_includes_the_state_at_arrival(self) -> None:
         lines = [
             line for text in LINES.splitlines() if (line := read_line(text, "host-1"))
         ]
-        home = "timestamp=4.2 message_type=hold_refused request=a1/host-1/0/0 free=0"
-        foreign = read_line(home, "host-2")
-        assert foreign is not None
-        story = find_story([*lines, foreign], "a1")
-        kinds = [line.kind for line in story.lines]
-        self.assertEqual(kinds, ["request_sent", "hold_refused", "request_refused"])
-        self.assertEqual(story.lines[2].fields["detail"], "reset by peer")
-        beliefs = [line.describe() for line in story.beliefs]
+        home_line = (
+            "timestamp=4.2 message_type=hold_refused request=a1/host-1/0/0 free=0"
+        )
+        home_host_line = read_line(home_line, "host-2")
+        assert home_host_line is not None
+        history = find_story([*lines, home_host_line], "a1")
+        event_names = [line.event_name for line in history.lines]
+        self.assertEqual(
+            event_names, ["request_sent", "hold_refused", "request_refused"]
+        )
+        self.assertEqual(history.lines[2].fields["detail"], "reset by peer")
+        beliefs = [line.describe() for line in history.beliefs]
         self.assertEqual(
             beliefs,
             [
@@ -40,16 +44,16 @@
                 "3.000 host-1 target_ejected target=i-1",
             ],
         )
-        self.assertEqual(len(story.account), 1)
+        self.assertEqual(len(history.account), 1)
 
-    def test_unknown_request_has_no_story(self) -> None:
+    def test_unknown_request_has_no_history(self) -> None:
         self.assertEqual(find_story([], "a1").lines, ())
 
 
 class MetricsPageTest(unittest.TestCase):
-    """Test the page of metrics."""
+    """Test the metrics in the Prometheus text format."""
 
-    def test_events_are_counted_and_timed(self) -> None:
+    def test_page_shows_counts_durations_and_gauges(self) -> None:
         page = MetricsPage()
         page.add_gauge("peers_known", "Other hosts known.", lambda: 6)
         message = {"message_type": "request_done", "duration_s": 0.3, "hold_s": 0.001}
--- a/trefoilstage/helpers/__init__.py
+++ b/trefoilstage/helpers/__init__.py
@@ -1,1 +1,1 @@
-"""Share what several parts need: codecs, events, dumps, metrics."""
+"""Provide what several components share: codec, log events, state dump, metrics."""
--- a/trefoilstage/helpers/codec.py
+++ b/trefoilstage/helpers/codec.py
@@ -1,4 +1,4 @@
-"""Turn typed messages into CBOR and back, checking them at the border."""
+"""Encode typed messages as CBOR, and validate them when decoding."""
 
 from typing import Any, Generic, TypeVar
 
@@ -11,7 +11,7 @@
 
 
 class Codec(Generic[MessageT]):
-    """Encode and decode one family of messages."""
+    """Encode and decode one message type, or a union of them."""
 
     def __init__(self, *, family: Any, max_bytes: int) -> None:
         self._adapter: TypeAdapter[MessageT] = TypeAdapter(family)
@@ -22,16 +22,16 @@
         return cbor2.dumps(self._adapter.dump_python(message))
 
     def decode(self, data: bytes) -> MessageT:
-        """Return the message, or raise MalformedMessageError for any other bytes."""
+        """Return the decoded message, or raise MalformedMessageError."""
         if len(data) > self._max_bytes:
             raise MalformedMessageError(f"{len(data)} bytes, limit {self._max_bytes}")
         try:
             return self._adapter.validate_python(cbor2.loads(data))
-        # The bytes come from outside. The decoder and validator raise a dozen
-        # types for hostile input; one that got through would stop the reader.
-        # The message tells places only, since the bytes may be a caller's body.
+        # For hostile input the decoder and validator raise a dozen exception types;
+        # one that is not caught would stop the task that reads the messages. The error
+        # names locations only, because the input may contain a caller's body.
         except ValidationError as error:
-            places = [".".join(map(str, item["loc"])) for item in error.errors()]
-            raise MalformedMessageError(f"not valid: {places[:5]}") from error
+            locations = [".".join(map(str, item["loc"])) for item in error.errors()]
+            raise MalformedMessageError(f"invalid fields: {locations[:5]}") from error
         except Exception as error:
             raise MalformedMessageError(type(error).__name__) from error
--- a/trefoilstage/helpers/dump.py
+++ b/trefoilstage/helpers/dump.py
@@ -1,4 +1,4 @@
-"""Turn a process's state into a readable dump in a stable order."""
+"""Dump the state of a process as JSON in a stable order."""
 
 import dataclasses
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -8,8 +8,8 @@
 from mode import Service
 from pydantic import BaseModel
 
-# Keys would let a reader of a dump call in a workspace's name, and bodies are
-# the callers' own. Neither helps to tell what a process does.
+# With a key, a reader of a dump could make calls as that workspace. Bodies are private
+# to the callers. Neither is needed to diagnose a process.
 HIDDEN_FIELDS = frozenset(
     {
         "key_sha256",
@@ -24,44 +24,47 @@
     }
 )
 
-SERVICE_FIELDS = frozenset(vars(Service()))
-DATA_TYPES = (str, int, float, bool, Mapping, Sequence, set, frozenset)
+MODE_SERVICE_FIELDS = frozenset(vars(Service()))
+DUMPED_TYPES = (str, int, float, bool, Mapping, Sequence, set, frozenset)
 
 GetState = Callable[[], object]
 Unregister = Callable[[], None]
 
 
 class StateRegistry:
-    """Hold where each part's state is found."""
+    """Register a function per component that returns its state."""
 
     def __init__(self) -> None:
-        self._parts: dict[str, GetState] = {}
+        self._state_getters: dict[str, GetState] = {}
 
     def register(self, name: str, get_state: GetState) -> Unregister:
-        """Add a part under a name until the returned function is called."""
-        self._parts[name] = get_state
+        """Register a component's state; the returned function unregisters it."""
+        self._state_getters[name] = get_state
 
         def unregister() -> None:
-            self._parts.pop(name, None)
+            self._state_getters.pop(name, None)
 
         return unregister
 
     def dump(self) -> dict[str, Any]:
-        """Return the state of every part by name."""
-        return {name: dump_value(self._parts[name]()) for name in sorted(self._parts)}
+        """Return the state of each registered component by name."""
+        return {
+            name: dump_value(self._state_getters[name]())
+            for name in sorted(self._state_getters)
+        }
 
 
 def dump_part(part: object) -> dict[str, Any]:
-    """Return the data that a part keeps itself, but not the parts it works with."""
+    """Return a component's own data attributes, without the objects that it uses."""
     return {
         name.lstrip("_"): dump_value(value)
         for name, value in sorted(vars(part).items())
-        if name not in SERVICE_FIELDS and isinstance(value, DATA_TYPES)
+        if name not in MODE_SERVICE_FIELDS and isinstance(value, DUMPED_TYPES)
     }
 
 
 def dump_value(value: object) -> Any:
-    """Return a JSON form of a value; keys and bodies are left out."""
+    """Return a JSON-compatible form of a value, without keys and bodies."""
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, str | int | float | bool) or value is None:
@@ -76,7 +79,7 @@
 
 
 def dump_fields(value: object, names: Iterable[str]) -> dict[str, Any]:
-    """Return the named fields of a value but the hidden ones."""
+    """Return the named fields of a value, except hidden ones."""
     return {
         name: dump_value(getattr(value, name))
         for name in names
@@ -85,9 +88,11 @@
 
 
 def dump_collection(value: object) -> Any:
-    """Return a collection in a stable order; the type's name for anything else."""
+    """Return a collection in a stable order, or the type name of any other value."""
     if isinstance(value, Mapping):
-        pairs = {format_key(key): dump_value(item) for key, item in value.items()}
+        pairs = {
+            format_mapping_key(key): dump_value(item) for key, item in value.items()
+        }
         return {key: pairs[key] for key in sorted(pairs)}
     if isinstance(value, set | frozenset):
         return sorted((dump_value(item) for item in value), key=str)
@@ -96,6 +101,6 @@
     return f"<{type(value).__name__}>"
 
 
-def format_key(key: object) -> str:
+def format_mapping_key(key: object) -> str:
     """Return a mapping's key as text."""
     return str(key.value) if isinstance(key, Enum) else str(key)
--- a/trefoilstage/helpers/events.py
+++ b/trefoilstage/helpers/events.py
@@ -1,4 +1,4 @@
-"""Write one key=value line for each event."""
+"""Log each event as one line of key=value pairs."""
 
 import atexit
 import json
@@ -14,16 +14,15 @@
 
 STANDARD_OUTPUT = 1
 STANDARD_ERROR = 2
-FIELDS_FIRST = ("timestamp", "message_type")
-FIELDS_HIDDEN = frozenset({"task_uuid", "task_level"})
+LEADING_FIELDS = ("timestamp", "message_type")
+OMITTED_FIELDS = frozenset({"task_uuid", "task_level"})
 
-
-# Bounds what a line quotes of another writer, in characters.
-MAX_QUOTED = 200
+# Limits text from other processes that is quoted in a log line.
+MAX_QUOTED_CHARS = 200
 
 
 class Event(StrEnum):
-    """Name what a process reports."""
+    """List the events that a process logs."""
 
     HOST_STARTED = "host_started"
     HOST_READY = "host_ready"
@@ -123,14 +122,14 @@
 
 
 def format_event(message: Mapping[str, Any]) -> str:
-    """Return a message as one line of key=value pairs."""
-    rest = sorted(set(message) - FIELDS_HIDDEN - set(FIELDS_FIRST))
-    keys = [key for key in FIELDS_FIRST if key in message] + rest
+    """Return an event as one line of key=value pairs."""
+    other_keys = sorted(set(message) - OMITTED_FIELDS - set(LEADING_FIELDS))
+    keys = [key for key in LEADING_FIELDS if key in message] + other_keys
     return " ".join(f"{key}={format_value(message[key])}" for key in keys)
 
 
 def format_value(value: object) -> str:
-    """Return a value that holds no bare space, quote or line break."""
+    """Return a value as text; quote it if it is empty or has special characters."""
     text = f"{value:.6f}" if isinstance(value, float) else str(value)
     if text and text.isprintable() and not set(text) & set(" \"'="):
         return text
@@ -138,61 +137,64 @@
 
 
 def shorten(text: str) -> str:
-    """Return the beginning of a text that another writer may have made long."""
-    return text if len(text) <= MAX_QUOTED else f"{text[:MAX_QUOTED]}..."
+    """Return a text from another process, truncated to the maximum quoted length."""
+    return text if len(text) <= MAX_QUOTED_CHARS else f"{text[:MAX_QUOTED_CHARS]}..."
 
 
-def find_place(error: BaseException) -> str:
-    """Return the function and line that raised an error."""
+def locate_error(error: BaseException) -> str:
+    """Return the function and line that raised an error, "" without a traceback."""
     frames = traceback.extract_tb(error.__traceback__)
     return f"{frames[-1].name}:{frames[-1].lineno}" if frames else ""
 
 
 def describe_error(error: BaseException | None) -> str:
-    """Return an error's type and place; its message may quote a key or a body."""
+    """Return an error's type and location, without its message.
+
+    The message may quote a key or a body.
+    """
     if error is None:
         return ""
-    place = find_place(error)
+    place = locate_error(error)
     return f"{type(error).__name__}@{place}" if place else type(error).__name__
 
 
 class EventWriter:
-    """Write events as they come; failures go before routine under load."""
+    """Write events to the log; under load, failures take precedence over routine."""
 
-    def __init__(self, *, lines: LineWriter) -> None:
-        self._lines = lines
+    def __init__(self, *, writer: LineWriter) -> None:
+        self._writer = writer
 
     def __call__(self, message: Mapping[str, Any]) -> None:
         """Write one event."""
-        self._lines.write(format_event(message), routine=is_routine(message))
+        self._writer.write(format_event(message), is_routine=is_routine(message))
 
 
 def is_routine(message: Mapping[str, Any]) -> bool:
-    """Tell whether an event says only that all went as usual."""
+    """Return whether an event reports normal operation only."""
     if message.get("message_type") not in ROUTINE_EVENTS:
         return False
     return message.get("complete", True) is True
 
 
 class LibraryHandler(logging.Handler):
-    """Turn what libraries log into events, so that each is one line."""
+    """Convert log records of libraries to events, so that each is one line."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Log a library's warning by its place; its text may quote a body."""
+        """Log the location of a library's warning; its text may quote a body."""
         error = record.exc_info[1] if record.exc_info else None
         log_event(
             Event.LIBRARY_WARNING,
             library=record.name,
             level=record.levelname.lower(),
-            place=find_place(error) if error else f"{record.module}:{record.lineno}",
+            place=locate_error(error) if error else f"{record.module}:{record.lineno}",
             error=type(error).__name__ if error else "",
         )
 
 
 def set_up_events(descriptor: int = STANDARD_ERROR) -> LineWriter:
-    """Send all events to a descriptor, standard error by default."""
-    lines = LineWriter(descriptor=descriptor)
-    eliot.add_destinations(EventWriter(lines=lines))
+    """Write events and library warnings to a file descriptor; return the writer."""
+    writer = LineWriter(descriptor=descriptor)
+    eliot.add_destinations(EventWriter(writer=writer))
     logging.basicConfig(level=logging.WARNING, handlers=[LibraryHandler()], force=True)
-    atexit.register(lines.flush)
-    return lines
+    atexit.register(writer.flush)
+    return writer
--- a/trefoilstage/helpers/exposition.py
+++ b/trefoilstage/helpers/exposition.py
@@ -1,4 +1,4 @@
-"""Count events and time requests for a page of metrics as text."""
+"""Collect event counts and request durations in the Prometheus text format."""
 
 from collections.abc import Callable, Mapping
 from typing import Any
@@ -12,10 +12,10 @@
 )
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-# Objectives are 0.1 to 1 s and deadlines 0.6 to 15 s.
+# Covers latency objectives of 0.1 to 1 s and request deadlines of 0.6 to 15 s.
 BUCKETS_S = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8)
-# Fields of an event that are durations, and the phase of a request that each tells.
-PHASES = {
+# Maps an event's duration fields to the request phases that they measure.
+PHASE_BY_FIELD = {
     "hold_s": "hold",
     "first_s": "first_event",
     "gap_s": "longest_gap",
@@ -24,10 +24,10 @@
 
 
 class MetricsPage:
-    """Hold the counters, histograms and gauges of one process.
+    """Collect the counters, histograms and gauges of one process.
 
-    Events and reasons are enumerations of the program, so that the number of labels
-    is bounded whatever callers send.
+    Labels are event names and reasons, which are enumerations of this program, so
+    callers cannot increase the number of time series.
     """
 
     def __init__(self) -> None:
@@ -38,7 +38,7 @@
             ["event", "reason"],
             registry=self._registry,
         )
-        self._seconds = Histogram(
+        self._request_seconds = Histogram(
             "trefoilstage_request_seconds",
             "Seconds of a request by phase.",
             ["phase"],
@@ -47,18 +47,20 @@
         )
 
     def __call__(self, message: Mapping[str, Any]) -> None:
-        """Count one event and the durations that it tells."""
+        """Count one event and observe its durations."""
         event = str(message.get("message_type", "unknown"))
         self._events.labels(event, str(message.get("reason", ""))).inc()
-        for name, phase in PHASES.items():
+        for name, phase in PHASE_BY_FIELD.items():
             if name in message:
-                self._seconds.labels(phase).observe(float(message[name]))
+                self._request_seconds.labels(phase).observe(float(message[name]))
 
-    def add_gauge(self, name: str, text: str, get_value: Callable[[], float]) -> None:
-        """Show a value that is read whenever the page is."""
-        gauge = Gauge(f"trefoilstage_{name}", text, registry=self._registry)
+    def add_gauge(
+        self, name: str, description: str, get_value: Callable[[], float]
+    ) -> None:
+        """Add a gauge whose value is read each time the page is rendered."""
+        gauge = Gauge(f"trefoilstage_{name}", description, registry=self._registry)
         gauge.set_function(get_value)
 
     def render(self) -> bytes:
-        """Return the page."""
+        """Return the metrics in the Prometheus text format."""
         return generate_latest(self._registry)
--- a/trefoilstage/helpers/fields.py
+++ b/trefoilstage/helpers/fields.py
@@ -1,4 +1,4 @@
-"""Define the fields that records and messages share; small, since all import it."""
+"""Define field types; kept small because all records and messages import them."""
 
 from typing import Annotated
 
--- a/trefoilstage/helpers/finding.py
+++ b/trefoilstage/helpers/finding.py
@@ -1,11 +1,11 @@
-"""Place a fault in a file."""
+"""Describe a fault in a file."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Finding:
-    """Place one fault in a file, at a line and a key."""
+    """Describe one fault with the file, line and key where it was found."""
 
     file: str
     line: int
--- a/trefoilstage/helpers/http.py
+++ b/trefoilstage/helpers/http.py
@@ -1,4 +1,4 @@
-"""Answer what no handler answered, typed and without a traceback."""
+"""Return typed error responses for requests that no handler answered."""
 
 from collections.abc import Awaitable, Callable
 
@@ -9,9 +9,9 @@
 from trefoilstage.helpers.verdict import Reason
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
-MakeError = Callable[[Reason, int], web.StreamResponse]
+MakeErrorResponse = Callable[[Reason, int], web.StreamResponse]
 
-HTTP_INTERNAL = 500
+HTTP_INTERNAL_ERROR = 500
 REASON_BY_STATUS = {
     404: Reason.UNKNOWN_PATH,
     405: Reason.METHOD_NOT_ALLOWED,
@@ -19,8 +19,8 @@
 }
 
 
-def make_error_middleware(make_error: MakeError) -> Middleware:
-    """Return a middleware that turns errors into an interface's own answers."""
+def make_error_middleware(make_error_response: MakeErrorResponse) -> Middleware:
+    """Return a middleware that converts exceptions to error responses."""
 
     @web.middleware
     async def answer_errors(
@@ -32,22 +32,22 @@
             if error.content_type == "application/json":
                 raise
             reason = REASON_BY_STATUS.get(error.status, Reason.BAD_REQUEST)
-            return make_error(reason, error.status)
+            return make_error_response(reason, error.status)
         except Exception as error:
-            # A fault of ours. Its message and the path may quote what was sent,
-            # so the log gets the error's type and place and the path's pattern.
+            # Unexpected error. Its message and the path may quote the request, so
+            # only its type and location and the route's pattern are logged.
             log_event(
                 Event.HANDLER_FAILED,
                 method=request.method,
                 path=get_pattern(request),
                 error=describe_error(error),
             )
-            return make_error(Reason.INTERNAL, HTTP_INTERNAL)
+            return make_error_response(Reason.INTERNAL, HTTP_INTERNAL_ERROR)
 
     return answer_errors
 
 
 def get_pattern(request: web.Request) -> str:
-    """Return the pattern of a request's path, without its values."""
+    """Return the path pattern of a request's route, "" if none matched."""
     resource = request.match_info.route.resource
     return resource.canonical if resource is not None else ""
--- a/trefoilstage/helpers/metrics.py
+++ b/trefoilstage/helpers/metrics.py
@@ -1,4 +1,4 @@
-"""Send metrics by statsd, gathered between two ticks."""
+"""Collect metrics and send them to a StatsD server."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -6,16 +6,18 @@
 
 import statsd
 
-PREFIX = "trefoilstage"
+STATSD_PREFIX = "trefoilstage"
 MS_PER_S = 1000
 
 
 class Metrics:
-    """Gather counts, durations and gauges; silent without an address."""
+    """Collect counters, durations and gauges; do nothing without an address."""
 
     def __init__(self, *, address: str | None, port: int, host: str) -> None:
         self._client = (
-            statsd.StatsClient(host=address, port=port, prefix=f"{PREFIX}.{host}")
+            statsd.StatsClient(
+                host=address, port=port, prefix=f"{STATSD_PREFIX}.{host}"
+            )
             if address
             else None
         )
@@ -24,12 +26,12 @@
         self._gauges: dict[str, float] = {}
 
     def count(self, name: str, amount: int = 1) -> None:
-        """Add to a counter."""
+        """Increment a counter."""
         if self._client is not None:
             self._counts[name] += amount
 
     def time(self, name: str, duration_s: float) -> None:
-        """Record a duration."""
+        """Record a duration in seconds."""
         if self._client is not None:
             self._durations.append((name, duration_s))
 
@@ -39,7 +41,7 @@
             self._gauges[name] = value
 
     def flush(self) -> None:
-        """Send what was gathered, many metrics to a datagram."""
+        """Send the collected metrics, many in each datagram, and clear them."""
         if self._client is None:
             return
         with self._client.pipeline() as pipeline:
@@ -55,13 +57,13 @@
 
 
 class EventMeter:
-    """Count every event by name and reason, so that no part counts for itself."""
+    """Count events by name and reason, so that components need no own counters."""
 
     def __init__(self, *, metrics: Metrics) -> None:
         self._metrics = metrics
 
     def __call__(self, message: Mapping[str, Any]) -> None:
-        """Count one event and keep its duration."""
+        """Count one event and record its duration, if it has one."""
         name = f"events.{message.get('message_type', 'unknown')}"
         self._metrics.count(name)
         if message.get("reason"):
--- a/trefoilstage/helpers/sends.py
+++ b/trefoilstage/helpers/sends.py
@@ -1,4 +1,4 @@
-"""Follow what the HTTP client does for a request, and stop a second send."""
+"""Trace how often the HTTP client sends a request, and prevent a repeated send."""
 
 import asyncio
 from dataclasses import dataclass
@@ -11,20 +11,20 @@
 
 
 class RepeatedSendError(TrefoilstageError):
-    """Report that the HTTP client was about to send a call a second time."""
+    """Report that the HTTP client tried to send a call a second time."""
 
 
 @dataclass(kw_only=True, slots=True)
 class Attempt:
-    """Hold how far a call has come; written by the trace."""
+    """Track the progress of one call; updated by the send trace."""
 
-    once: bool
+    once: bool  # fail rather than send twice
     n_sent: int = 0
-    # When the opening of a connection began, by the loop's clock.
+    # When the client began to open a connection, on the event loop's clock.
     connecting_since: float | None = None
 
     def was_stalled(self, timeout_s: float) -> bool:
-        """Tell whether this process stood still while its connection timed out."""
+        """Return whether this process was stalled while its connection timed out."""
         if self.connecting_since is None:
             return False
         now = asyncio.get_running_loop().time()
@@ -32,19 +32,19 @@
 
 
 def make_send_trace() -> aiohttp.TraceConfig:
-    """Return a trace that counts sends and stops the second of a single one."""
+    """Return a trace that counts sends and prevents repeats of `once` attempts."""
     trace = aiohttp.TraceConfig()
-    trace.on_connection_create_start.append(note_connecting)
+    trace.on_connection_create_start.append(record_connection_start)
     trace.on_request_headers_sent.append(count_send)
     return trace
 
 
-async def note_connecting(
+async def record_connection_start(
     session: aiohttp.ClientSession,
     context: SimpleNamespace,
     params: aiohttp.TraceConnectionCreateStartParams,
 ) -> None:
-    """Note when a connection begins to open."""
+    """Record when the client begins to open a connection."""
     attempt = context.trace_request_ctx
     if isinstance(attempt, Attempt):
         attempt.connecting_since = asyncio.get_running_loop().time()
@@ -55,14 +55,14 @@
     context: SimpleNamespace,
     params: aiohttp.TraceRequestHeadersSentParams,
 ) -> None:
-    """Count a send, before its first byte leaves."""
+    """Count a send before its headers are written; raise if it must not repeat."""
     attempt = context.trace_request_ctx
     if not isinstance(attempt, Attempt):
         return
-    # The HTTP client sends PUT, DELETE and GET again by itself when their
-    # connection breaks, also when the service has already acted. A booking
-    # would then run twice. Stopping here, before the second head is written,
-    # is enough because every send passes this call.
+    # aiohttp retries PUT, DELETE and GET when their connection breaks, even if the
+    # service has already processed the call. A booking would then run twice. Every send
+    # passes through this callback, so raising here, before the headers are written a
+    # second time, prevents that.
     if attempt.once and attempt.n_sent:
         raise RepeatedSendError("the connection broke after the call was sent")
     attempt.n_sent += 1
@@ -72,12 +72,12 @@
     connector: aiohttp.TCPConnector,
     response_class: type[aiohttp.ClientResponse] = aiohttp.ClientResponse,
 ) -> aiohttp.ClientSession:
-    """Return an HTTP client that counts sends and keeps no cookies."""
+    """Return an HTTP client session that traces sends and stores no cookies."""
     return aiohttp.ClientSession(
         connector=connector,
         response_class=response_class,
         timeout=aiohttp.ClientTimeout(total=None),
         trace_configs=[make_send_trace()],
-        # A cookie set for one workspace must not go out with another's call.
+        # A cookie set for one workspace must not be sent with another one's call.
         cookie_jar=aiohttp.DummyCookieJar(),
     )
--- a/trefoilstage/helpers/stories.py
+++ b/trefoilstage/helpers/stories.py
@@ -1,4 +1,4 @@
-"""Tell one request's story from the lines that hosts wrote; pure."""
+"""Reconstruct the history of a request from the log lines of all hosts; no I/O."""
 
 import re
 import shlex
@@ -7,8 +7,8 @@
 
 from trefoilstage.helpers.events import Event
 
-# Lines about what a host believed, shown as they stood when the request came.
-BELIEFS = (
+# State that a host knew, shown as of the arrival of the request.
+HOST_STATE_EVENTS = (
     Event.CONFIG_IN_FORCE,
     Event.STORE_OUT_OF_REACH,
     Event.STORE_IN_REACH,
@@ -16,70 +16,70 @@
     Event.HOST_READY,
     Event.HOST_DRAINING,
 )
-# Standing and health of the targets that a request was sent to.
-TARGET_BELIEFS = (
+# Membership and health of the targets that a request was sent to.
+TARGET_STATE_EVENTS = (
     Event.TARGET_LISTED,
     Event.TARGET_DROPPED,
     Event.TARGET_EJECTED,
     Event.TARGET_REPLACED,
 )
 ACCOUNT_EVENTS = (Event.ESCROW_DRAWN, Event.ESCROW_DRAW_FAILED, Event.ESCROW_RECOVERED)
-PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
-# How long before the request's first line draws of its account are shown.
+KEY_VALUE_PAIR = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|\S*)')
+# Draws of the request's account are shown from this long before its first line.
 ACCOUNT_WINDOW_S = 2.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LogLine:
-    """Hold one line of a host."""
+    """Represent one log line of a host."""
 
-    source: str  # the file, or what a supervisor wrote before the line
+    source: str  # the last word before the line, as a supervisor writes, else the file
     fields: dict[str, str]
 
     @property
-    def at(self) -> float:
-        """Return when it was written, in seconds of the host's time of day."""
+    def timestamp(self) -> float:
+        """Return when the line was written, in Unix seconds of the host's clock."""
         return float(self.fields.get("timestamp", "0"))
 
     @property
-    def kind(self) -> str:
-        """Return the event's name."""
+    def event_name(self) -> str:
+        """Return the name of the logged event."""
         return self.fields.get("message_type", "")
 
     def describe(self) -> str:
-        """Return the line as text, with its source before it."""
-        rest = [
+        """Return the line as text: timestamp, source, event name and fields."""
+        pairs = [
             f"{name}={value}"
             for name, value in self.fields.items()
             if name not in ("timestamp", "message_type")
         ]
-        return " ".join([f"{self.at:.3f}", self.source, self.kind, *rest])
+        return " ".join([f"{self.timestamp:.3f}", self.source, self.event_name, *pairs])
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Story:
-    """Hold what is known of a request."""
+class RequestHistory:
+    """Represent the log lines that explain what happened to a request."""
 
-    lines: tuple[LogLine, ...]  # those that name it, in order
-    beliefs: tuple[LogLine, ...]  # what its hosts believed when it came
-    account: tuple[LogLine, ...]  # changes of its workspace's stocks around it
+    lines: tuple[LogLine, ...]  # about the request itself, in order
+    beliefs: tuple[LogLine, ...]  # state known to its hosts when it arrived
+    account: tuple[LogLine, ...]  # changes of its workspace's escrow at that time
 
 
 def read_line(text: str, source: str) -> LogLine | None:
-    """Return a line of ours, None for any other text."""
-    head, found, _ = text.partition("timestamp=")
-    if not found:
+    """Return a parsed log line, or None if the text is not one of this program."""
+    prefix, separator, _ = text.partition("timestamp=")
+    if not separator:
         return None
-    pairs = PAIR.findall(text[len(head) :])
+    pairs = KEY_VALUE_PAIR.findall(text[len(prefix) :])
     fields = {name: unquote(value) for name, value in pairs}
     if "message_type" not in fields:
         return None
-    words = head.split()
-    return LogLine(source=words[-1] if words else source, fields=fields)
+    prefix_words = prefix.split()
+    return LogLine(source=prefix_words[-1] if prefix_words else source, fields=fields)
 
 
 def unquote(value: str) -> str:
-    """Return a value without the quotes that protect spaces."""
+    """Return a value without its quotes, if it has any."""
     if not value.startswith('"'):
         return value
     try:
@@ -88,45 +88,57 @@
         return value
 
 
-def find_story(lines: Iterable[LogLine], request: str) -> Story:
-    """Return the story of a request from the lines of all hosts."""
-    known = sorted(lines, key=lambda line: line.at)
-    own = [line for line in known if names_request(line, request)]
-    if not own:
-        return Story(lines=(), beliefs=(), account=())
-    sources = {line.source for line in own}
-    targets = {line.fields["target"] for line in own if "target" in line.fields}
-    workspaces = {line.fields.get("workspace", "") for line in own} - {""}
-    newest: dict[tuple[str, str, str], LogLine] = {}
-    for line in known:
-        if line.at > own[0].at:
+def find_story(lines: Iterable[LogLine], request: str) -> RequestHistory:
+    """Return the history of a request from the log lines of all hosts."""
+    sorted_lines = sorted(lines, key=lambda line: line.timestamp)
+    request_lines = [line for line in sorted_lines if is_about_request(line, request)]
+    if not request_lines:
+        return RequestHistory(lines=(), beliefs=(), account=())
+    sources = {line.source for line in request_lines}
+    targets = {
+        line.fields["target"] for line in request_lines if "target" in line.fields
+    }
+    workspaces = {line.fields.get("workspace", "") for line in request_lines} - {""}
+    latest_by_state: dict[tuple[str, str, str], LogLine] = {}
+    for line in sorted_lines:
+        if line.timestamp > request_lines[0].timestamp:
             break
-        key = (line.source, *name_belief(line, targets))
+        key = (line.source, *identify_state(line, targets))
         if line.source in sources and key[1]:
-            newest[key] = line
+            latest_by_state[key] = line
     account = [
         line
-        for line in known
-        if line.kind in ACCOUNT_EVENTS
+        for line in sorted_lines
+        if line.event_name in ACCOUNT_EVENTS
         and line.fields.get("workspace") in workspaces
-        and own[0].at - ACCOUNT_WINDOW_S <= line.at <= own[-1].at
+        and request_lines[0].timestamp - ACCOUNT_WINDOW_S
+        <= line.timestamp
+        <= request_lines[-1].timestamp
     ]
-    beliefs = sorted(newest.values(), key=lambda line: line.at)
-    return Story(lines=tuple(own), beliefs=tuple(beliefs), account=tuple(account))
+    beliefs = sorted(latest_by_state.values(), key=lambda line: line.timestamp)
+    return RequestHistory(
+        lines=tuple(request_lines), beliefs=tuple(beliefs), account=tuple(account)
+    )
 
 
-def names_request(line: LogLine, request: str) -> bool:
-    """Tell whether a line is about a request; holds are named after it."""
+def is_about_request(line: LogLine, request: str) -> bool:
+    """Return whether a line is about a request or one of its holds.
+
+    The identifier of a hold begins with that of its request.
+    """
     return line.fields.get("request", "").split("/")[0] == request
 
 
-def name_belief(line: LogLine, targets: set[str]) -> tuple[str, str]:
-    """Return which belief a line states, empty if none; a later one replaces it."""
-    if line.kind in (Event.STORE_OUT_OF_REACH, Event.STORE_IN_REACH):
+def identify_state(line: LogLine, targets: set[str]) -> tuple[str, str]:
+    """Return which state a line reports, empty if none.
+
+    A later line that reports the same state replaces an earlier one.
+    """
+    if line.event_name in (Event.STORE_OUT_OF_REACH, Event.STORE_IN_REACH):
         return "store", ""
-    if line.kind in BELIEFS:
-        return line.kind, ""
+    if line.event_name in HOST_STATE_EVENTS:
+        return line.event_name, ""
     target = line.fields.get("target", "")
-    if line.kind in TARGET_BELIEFS and target in targets:
+    if line.event_name in TARGET_STATE_EVENTS and target in targets:
         return "target", target
     return "", ""
--- a/trefoilstage/helpers/verdict.py
+++ b/trefoilstage/helpers/verdict.py
@@ -1,4 +1,8 @@
-"""Hold the sentinel values, each with a reason, that stand for errors."""
+"""Define the results that components return instead of raising an error.
+
+A verdict is the decision of the fold, which applies the log's records to the state,
+on one record: accepted or rejected.
+"""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,10 +11,10 @@
 
 
 class Reason(StrEnum):
-    """Name why something was rejected or refused."""
+    """List the reasons for a rejection or refusal."""
 
     BUDGET_EXHAUSTED = "budget_exhausted"
-    BUDGET_DRAWN = "budget_drawn"  # free tokens are none, drawn ones not all spent
+    BUDGET_DRAWN = "budget_drawn"  # no tokens are free, but not all drawn ones spent
     BUDGET_UNCONFIRMED = "budget_unconfirmed"
     POWER_EXHAUSTED = "power_exhausted"
     CRASHES_TARGETS = "crashes_targets"
@@ -38,7 +42,7 @@
     CONFLICT = "conflict"
     INVALID = "invalid"
     DUPLICATE = "duplicate"
-    OUT_OF_ORDER = "out_of_order"  # an earlier record of its writer is missing
+    OUT_OF_ORDER = "out_of_order"  # an earlier record of the same writer is missing
     UNKNOWN_DRAW = "unknown_draw"
     UNKNOWN_ACCOUNT = "unknown_account"
     NOT_HOLDER = "not_holder"
@@ -50,7 +54,7 @@
 
 
 class Effect(StrEnum):
-    """Tell a caller whether anything was run."""
+    """State what is known about whether a failed request was run."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
@@ -58,7 +62,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Refusal:
-    """Stand for a request that got no answer, with the reason."""
+    """Represent a request that was refused or failed, with the reason."""
 
     reason: Reason
     effect: Effect = Effect.NOT_RUN
@@ -68,14 +72,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Accepted:
-    """Stand for a record that the fold took in, with the amount granted."""
+    """Represent a record that the fold applied, with the amount granted."""
 
     amount: int = 0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Rejected:
-    """Stand for a record that the fold left out, with the reason and findings."""
+    """Represent a record that the fold rejected, with the reason and findings."""
 
     reason: Reason
     detail: str = ""
