--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Call the operators' interface as tools and mistaken tools would."""
+"""Test the operators' interface with valid and invalid requests."""
 
 import ast
 import asyncio
@@ -12,14 +12,14 @@
 from standins.launcher import wait_for
 from tests.common import OTHER_SECRET, ROOT, SECRET, Fleet, read_table
 
-ONE_HOST: dict[str, Any] = {"n_hosts": 1}
+ONE_HOST_OPTIONS: dict[str, Any] = {"n_hosts": 1}
 
 
 class OperatorsTest(unittest.IsolatedAsyncioTestCase):
-    """Check answers, verdicts, dump, lines and metrics of one host."""
+    """Test responses, verdicts, state dump, log lines and metrics of one host."""
 
-    async def test_wrong_calls_get_typed_errors(self) -> None:
-        async with Fleet(**ONE_HOST) as fleet:
+    async def test_invalid_requests_get_typed_errors(self) -> None:
+        async with Fleet(**ONE_HOST_OPTIONS) as fleet:
             base = fleet.hosts[0].operator_url
             cases = [
                 ("GET", "/nowhere", b"", 404, "unknown_path"),
@@ -40,31 +40,31 @@
             lines = "\n".join(fleet.hosts[0].lines)
             self.assertNotIn("Traceback", lines)
 
-    async def test_findings_have_places_and_history_keeps_them(self) -> None:
-        async with Fleet(**ONE_HOST) as fleet:
+    async def test_findings_have_locations_and_are_kept_in_the_history(self) -> None:
+        async with Fleet(**ONE_HOST_OPTIONS) as fleet:
             content = '[budgets.brest]\ntokens = -4\n[sites.brest]\ncolour = "red"\n'
             verdict = await fleet.publish("40-wrong.toml", content)
             self.assertFalse(verdict["accepted"])
-            places = [(item["line"], item["key"]) for item in verdict["findings"]]
+            locations = [(item["line"], item["key"]) for item in verdict["findings"]]
             expected = [(2, "budgets.brest.tokens"), (4, "sites.brest.colour")]
-            self.assertEqual(sorted(places), expected)
-            again = await fleet.publish("40-wrong.toml", content)
-            self.assertEqual(again, verdict)
+            self.assertEqual(sorted(locations), expected)
+            repeated = await fleet.publish("40-wrong.toml", content)
+            self.assertEqual(repeated, verdict)
             history = await fleet.launcher.get_json(
                 f"{fleet.hosts[0].operator_url}/config/history"
             )
             self.assertEqual(history[-1]["reason"], "invalid")
             self.assertEqual(len(history[-1]["findings"]), 2)
 
-    async def test_keys_and_bodies_are_in_no_line_or_dump(self) -> None:
-        """Look for callers' keys and bodies in all that a host tells.
+    async def test_no_log_line_or_dump_contains_keys_or_bodies(self) -> None:
+        """Search the log and the state dumps for keys and bodies of callers.
 
-        A caller asks with its key, a wrong key and a key in the wrong place; a
-        booking carries a body. Then the state is read over HTTP and by the
-        signal. An operator may pass either on, so neither may hold a key, its
-        digest or what a caller wrote.
+        Chat calls use a valid key, a wrong key and a key in the path; a booking
+        has a body. The state is dumped over HTTP and by SIGUSR1. Operators may
+        pass logs and dumps on, so neither may contain a key, its digest or text
+        of a caller.
         """
-        async with Fleet(**ONE_HOST) as fleet:
+        async with Fleet(**ONE_HOST_OPTIONS) as fleet:
             host = fleet.hosts[0]
             text = "private-words"
             await fleet.chat(host, text=text)
@@ -77,20 +77,21 @@
             dump = await fleet.launcher.get_json(f"{host.operator_url}/state")
             host.signal(signal.SIGUSR1)
             await wait_for(
-                lambda: any(line.startswith("{") for line in host.lines), "the dump"
+                lambda: any(line.startswith("{") for line in host.lines),
+                "the state dump",
             )
-            written = next(line for line in host.lines if line.startswith("{"))
-            self.assertEqual(list(json.loads(written)), list(dump))
+            dump_line = next(line for line in host.lines if line.startswith("{"))
+            self.assertEqual(list(json.loads(dump_line)), list(dump))
             self.assertEqual(list(dump), sorted(dump))
-            told = json.dumps(dump) + "\n".join(host.lines)
+            output = json.dumps(dump) + "\n".join(host.lines)
             for secret in (SECRET, "wrong-bearer-key", text, "key_sha256"):
-                self.assertNotIn(secret, told)
+                self.assertNotIn(secret, output)
             requests = [line for line in host.lines if "request_" in line]
             self.assertGreaterEqual(len(requests), 3)
             for line in requests:
                 self.assertRegex(line, r" request=\S+ .*workspace=\S+")
 
-    async def test_metrics_arrive_by_statsd(self) -> None:
+    async def test_metrics_are_sent_by_statsd(self) -> None:
         names = (
             "requests.active",
             "log.reachable",
@@ -106,7 +107,7 @@
             "statsd_port": receiver.getsockname()[1],
         }
         with receiver:
-            async with Fleet(**ONE_HOST, host_settings=settings) as fleet:
+            async with Fleet(**ONE_HOST_OPTIONS, host_settings=settings) as fleet:
                 await fleet.chat(fleet.hosts[0])
                 seen = ""
                 async with asyncio.timeout(15):
@@ -120,17 +121,17 @@
 
 
 class LinesTest(unittest.TestCase):
-    """Read every place in the program that writes a line."""
+    """Test the source code of every call that writes a log line."""
 
-    def test_lines_of_requests_are_whole_and_quote_no_error(self) -> None:
-        calls = [
+    def test_request_lines_name_the_workspace_and_quote_no_error(self) -> None:
+        log_calls = [
             (path, call)
             for path in (ROOT / "trefoilstage").rglob("*.py")
             for call in ast.walk(ast.parse(path.read_text()))
             if isinstance(call, ast.Call) and ast.unparse(call.func) == "log_event"
         ]
-        self.assertGreater(len(calls), 20)
-        for path, call in calls:
+        self.assertGreater(len(log_calls), 20)
+        for path, call in log_calls:
             names = {keyword.arg for keyword in call.keywords}
             with self.subTest(f"{path.name}:{call.lineno}"):
                 if "request" in names:
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Show the whole path with the accounts spread over several ledger streams."""
+"""Test the whole request path with accounts spread over several ledger streams."""
 
 import asyncio
 import unittest
@@ -8,18 +8,18 @@
 from trefoilstage.util.hashing import pick_stream
 
 N_STREAMS = 3
-FLEET = f"[fleet]\nledger_streams = {N_STREAMS}\n"
+FLEET_CONFIG = f"[fleet]\nledger_streams = {N_STREAMS}\n"
 
 
 class StreamsTest(unittest.IsolatedAsyncioTestCase):
-    """Use three ledger streams."""
+    """Test a fleet with three ledger streams."""
 
     async def test_budgets_and_bookings_on_three_streams(self) -> None:
         accounts = ["budget:brest", "budget:quimper", "workspace:brest-school"]
-        used = {pick_stream(account, N_STREAMS) for account in accounts}
-        self.assertGreater(len(used), 1, "the accounts should not share one stream")
+        used_streams = {pick_stream(account, N_STREAMS) for account in accounts}
+        self.assertGreater(len(used_streams), 1, "all accounts are on the same stream")
         settings = {"checkpoint_every": 20}
-        async with Fleet(more_config=FLEET, host_settings=settings) as fleet:
+        async with Fleet(more_config=FLEET_CONFIG, host_settings=settings) as fleet:
             answers = await asyncio.gather(
                 *(
                     fleet.chat(host, max_tokens=8, stream=True, secret=secret)
@@ -36,19 +36,19 @@
                 self.assertEqual(answer.status, 200, answer.body)
             self.assertEqual(len(await fleet.list_effects()), 1)
             executed = await fleet.count_executed()
-            newcomer = await fleet.start_host("host-3")
+            new_host = await fleet.start_host("host-3")
 
             async def is_settled() -> bool:
-                if (await fleet.launcher.get_json(f"{newcomer.operator_url}/status"))[
+                if (await fleet.launcher.get_json(f"{new_host.operator_url}/status"))[
                     "phase"
                 ] != "serving":
                     return False
                 budgets = [
-                    await fleet.get_budget(newcomer, name)
+                    await fleet.get_budget(new_host, name)
                     for name in ("brest", "quimper")
                 ]
                 spent = sum(budget["spent"] for budget in budgets)
                 held = sum(budget["held"] for budget in budgets)
                 return bool(spent == executed and held == 0)
 
-            await wait_for(is_settled, "the spend to show on a new host")
+            await wait_for(is_settled, "the new host to show all spent tokens")
--- a/trefoilstage/components/operators/__init__.py
+++ b/trefoilstage/components/operators/__init__.py
@@ -1,1 +1,1 @@
-"""Answer operators: views of state, publishing, metrics."""
+"""Serve the operators' HTTP interface and send metrics."""
--- a/trefoilstage/components/operators/metrics.py
+++ b/trefoilstage/components/operators/metrics.py
@@ -1,4 +1,4 @@
-"""Sample what is worth watching and send it."""
+"""Sample metrics of a host and send them to a StatsD server."""
 
 from collections.abc import Callable, Mapping
 
@@ -11,11 +11,11 @@
 from trefoilstage.helpers.metrics import EventMeter, Metrics
 from trefoilstage.timer import TimerService
 
-SAMPLE_S = 5.0
+SAMPLE_INTERVAL_S = 5.0
 
 
 class MetricsController(Service):
-    """Turn the blackboard into gauges and events into counters."""
+    """Send gauges sampled from the blackboard, and counts of logged events."""
 
     def __init__(
         self,
@@ -39,27 +39,27 @@
     async def on_start(self) -> None:
         """Start counting events and sampling."""
         eliot.add_destinations(self._meter)
-        self._due = self._timer.now() + SAMPLE_S
+        self._due = self._timer.now() + SAMPLE_INTERVAL_S
         self._unsubscribe = self._timer.subscribe(
-            name="metrics", interval_s=SAMPLE_S, callback=self._sample
+            name="metrics", interval_s=SAMPLE_INTERVAL_S, callback=self._sample
         )
 
     async def on_stop(self) -> None:
-        """Stop sampling and send what is left."""
+        """Stop sampling and send the remaining metrics."""
         self._unsubscribe()
         eliot.remove_destination(self._meter)
         self._metrics.flush()
 
     async def _sample(self) -> None:
-        # A tick that comes late tells how long the loop was busy, which every
-        # request felt in the meantime.
+        # A late tick shows how long the event loop was busy, which delayed every
+        # request in the meantime.
         self._metrics.gauge("loop_lag_s", max(0.0, self._timer.now() - self._due))
-        self._due = self._timer.now() + SAMPLE_S
+        self._due = self._timer.now() + SAMPLE_INTERVAL_S
         self._sample_requests()
         self._sample_log()
         self._sample_budgets()
-        for name, read in self._gauges.items():
-            self._metrics.gauge(name, read())
+        for name, get_value in self._gauges.items():
+            self._metrics.gauge(name, get_value())
         self._metrics.flush()
 
     def _sample_requests(self) -> None:
--- a/trefoilstage/components/operators/models.py
+++ b/trefoilstage/components/operators/models.py
@@ -1,4 +1,4 @@
-"""Define the bodies of the operators' interface."""
+"""Define the request and response bodies of the operators' interface."""
 
 from typing import Annotated
 
@@ -7,21 +7,21 @@
 from trefoilstage.helpers.fields import Name
 from trefoilstage.helpers.finding import Finding
 
-Operation = Annotated[str, Field(min_length=8, max_length=64)]
+OperationId = Annotated[str, Field(min_length=8, max_length=64)]
 FileName = Annotated[str, Field(pattern=r"^[0-9A-Za-z][0-9A-Za-z_-]{0,80}\.toml$")]
 Author = Annotated[str, Field(max_length=100)]
 
 
 class OperatorBody(BaseModel):
-    """Refuse keys that no body knows."""
+    """Reject request bodies with unknown keys."""
 
     model_config = ConfigDict(extra="forbid")
 
 
 class PublishBody(OperatorBody):
-    """Ask to publish a file over the revision its author saw."""
+    """Request to publish a file on top of the revision that its author saw."""
 
-    operation: Operation
+    operation: OperationId
     name: FileName
     content: Annotated[str, Field(max_length=200_000)]
     base_revision: Annotated[int | None, Field(ge=-1, le=1 << 53)] = None
@@ -29,23 +29,23 @@
 
 
 class RemoveBody(OperatorBody):
-    """Ask to remove a file at the revision its author saw."""
+    """Request to remove a file at the revision that the author saw."""
 
-    operation: Operation
+    operation: OperationId
     name: FileName
     base_revision: Annotated[int | None, Field(ge=-1, le=1 << 53)] = None
     author: Author = ""
 
 
 class TopUpBody(OperatorBody):
-    """Ask to raise a budget."""
+    """Request to add tokens to a budget."""
 
-    operation: Operation
+    operation: OperationId
     amount: Annotated[int, Field(ge=1, le=1 << 50)]
 
 
 class VerdictAnswer(BaseModel):
-    """Tell whether the log accepted a change, or that it is not known yet."""
+    """Report whether the log accepted a change, or that this is not known yet."""
 
     accepted: bool
     known: bool = True
@@ -57,16 +57,17 @@
 
 
 class ErrorAnswer(BaseModel):
-    """Tell why a call got no other answer."""
+    """Report the reason why a request failed."""
 
     reason: str
     detail: str = ""
 
 
 class BudgetAnswer(BaseModel):
-    """Describe a budget as one host knows it; amounts in tokens.
+    """Describe a budget as one host knows it, in tokens.
 
-    paid = spent + held + free; what is doubtful is part of what is held.
+    paid = spent + held + free. Doubtful tokens, which lost hosts may have spent, are
+    included in held.
     """
 
     name: str
@@ -89,7 +90,7 @@
 
 
 class StreamAnswer(BaseModel):
-    """Describe how a host stands with one stream of the log."""
+    """Describe a host's progress in reading one stream of the log."""
 
     name: str
     reachable: bool
@@ -98,7 +99,7 @@
 
 
 class StatusAnswer(BaseModel):
-    """Describe how one host stands."""
+    """Describe the state of one host."""
 
     host: str
     incarnation: str
@@ -120,7 +121,7 @@
 
 
 class TargetAnswer(BaseModel):
-    """Describe one target and what this host has sent it."""
+    """Describe one target, with this host's active requests and failures."""
 
     name: str
     model: str
@@ -132,20 +133,20 @@
 
 
 class DeclareLostBody(BaseModel):
-    """Name hosts that are gone for good."""
+    """Name hosts that are permanently lost."""
 
     hosts: Annotated[list[Name], Field(min_length=1)]
 
 
 class DeclareLostAnswer(BaseModel):
-    """Tell that a host waits for others no more."""
+    """Confirm that a host no longer waits for the lost hosts."""
 
     host: str
     hosts: list[str]
 
 
 class DrainAnswer(BaseModel):
-    """Tell that a host has begun to drain."""
+    """Confirm that a host has started to drain."""
 
     host: str
     draining: bool = True
--- a/trefoilstage/components/operators/views.py
+++ b/trefoilstage/components/operators/views.py
@@ -1,4 +1,4 @@
-"""Describe what a host knows, for operators."""
+"""Build the responses to operators from the state that this host knows."""
 
 from trefoilstage.blackboard import Blackboard, TargetStatus
 from trefoilstage.components.operators.models import (
@@ -13,15 +13,15 @@
 from trefoilstage.ledger.state import DrawStatus, LedgerState
 
 
-def describe_status(blackboard: Blackboard, caught_up: bool) -> StatusAnswer:
-    """Return how this host stands."""
+def describe_status(blackboard: Blackboard, is_caught_up: bool) -> StatusAnswer:
+    """Return the state of this host."""
     return StatusAnswer(
         host=blackboard.host,
         incarnation=blackboard.incarnation,
         data_center=blackboard.data_center,
         phase=blackboard.phase.value,
         revision=blackboard.config.revision,
-        caught_up=caught_up,
+        caught_up=is_caught_up,
         n_active=blackboard.n_active,
         streams=[
             StreamAnswer(
@@ -36,7 +36,7 @@
 
 
 def describe_hosts(blackboard: Blackboard) -> list[HostAnswer]:
-    """Return the hosts of the fleet by name."""
+    """Return the hosts of the fleet, sorted by name."""
     return [
         HostAnswer(
             host=entry.host,
@@ -51,13 +51,13 @@
 
 
 def describe_budgets(blackboard: Blackboard) -> list[BudgetAnswer]:
-    """Return the budgets by name."""
+    """Return the budgets, sorted by name."""
     answers = []
     for _, ledger in sorted(blackboard.ledgers.items()):
         for name, account in ledger.accounts.items():
             if not name.startswith(BUDGET_ACCOUNT_PREFIX):
                 continue
-            open_spend = count_open_spend(ledger, name)
+            open_spend = sum_open_spend(ledger, name)
             answers.append(
                 BudgetAnswer(
                     name=name.removeprefix(BUDGET_ACCOUNT_PREFIX),
@@ -65,19 +65,19 @@
                     spent=account.closed_spend - account.credit + open_spend,
                     held=account.held - open_spend,
                     free=account.free,
-                    doubtful=count_doubtful(ledger, name),
+                    doubtful=sum_doubtful(ledger, name),
                 )
             )
     return sorted(answers, key=lambda answer: answer.name)
 
 
-def count_open_spend(ledger: LedgerState, account: str) -> int:
-    """Return what the draws of an account have spent so far."""
+def sum_open_spend(ledger: LedgerState, account: str) -> int:
+    """Return the tokens that an account's current draws have spent so far."""
     return sum(draw.spent for draw in ledger.draws.values() if draw.account == account)
 
 
-def count_doubtful(ledger: LedgerState, account: str) -> int:
-    """Return what lost holders may have spent without reporting it."""
+def sum_doubtful(ledger: LedgerState, account: str) -> int:
+    """Return the tokens that lost holders may have spent without reporting them."""
     return sum(
         draw.charge - draw.spent
         for draw in ledger.draws.values()
@@ -86,7 +86,7 @@
 
 
 def describe_files(blackboard: Blackboard) -> list[FileAnswer]:
-    """Return the files in force in the order of their merge."""
+    """Return the files in force, in the order in which they are merged."""
     authors = {
         entry.offset: entry.author
         for entry in blackboard.config.history
@@ -95,16 +95,16 @@
     return [
         FileAnswer(
             name=name,
-            revision=item.revision,
-            author=authors.get(item.revision, ""),
-            content=item.content,
+            revision=file.revision,
+            author=authors.get(file.revision, ""),
+            content=file.content,
         )
-        for name, item in sorted(blackboard.config.files.items())
+        for name, file in sorted(blackboard.config.files.items())
     ]
 
 
 def describe_targets(blackboard: Blackboard) -> list[TargetAnswer]:
-    """Return the targets by name."""
+    """Return the targets, sorted by name."""
     answers = []
     for name, target in sorted(blackboard.configuration.targets.items()):
         status = blackboard.targets.get(name) or TargetStatus()
