--- a/tests/helpers/test_stories.py
+++ b/tests/helpers/test_stories.py
@@ -36,9 +36,9 @@
             event_names, ["request_sent", "hold_refused", "request_refused"]
         )
         self.assertEqual(history.lines[2].fields["detail"], "reset by peer")
-        beliefs = [line.describe() for line in history.beliefs]
+        host_states = [line.describe() for line in history.beliefs]
         self.assertEqual(
-            beliefs,
+            host_states,
             [
                 "2.000 host-1 config_in_force version=4",
                 "3.000 host-1 target_ejected target=i-1",
--- a/trefoilstage/helpers/stories.py
+++ b/trefoilstage/helpers/stories.py
@@ -106,7 +106,7 @@
         key = (line.source, *identify_state(line, targets))
         if line.source in sources and key[1]:
             latest_by_state[key] = line
-    account = [
+    account_changes = [
         line
         for line in sorted_lines
         if line.event_name in ACCOUNT_EVENTS
@@ -115,9 +115,11 @@
         <= line.timestamp
         <= request_lines[-1].timestamp
     ]
-    beliefs = sorted(latest_by_state.values(), key=lambda line: line.timestamp)
+    host_states = sorted(latest_by_state.values(), key=lambda line: line.timestamp)
     return RequestHistory(
-        lines=tuple(request_lines), beliefs=tuple(beliefs), account=tuple(account)
+        lines=tuple(request_lines),
+        beliefs=tuple(host_states),
+        account=tuple(account_changes),
     )
 
 
