--- a/tests/components/forwarding/test_connections.py
+++ b/tests/components/forwarding/test_connections.py
@@ -202,7 +202,7 @@
     async def test_request_on_a_closed_connection_may_have_run(self) -> None:
         """Close a reused connection after a request, without an answer.
 
-        The target may have run the request. It must not count as not sent, and the
+        The target may have run the request. It must not count as not run, and the
         HTTP library must not resend it automatically.
         """
 
--- a/tests/components/test_stalled_connects.py
+++ b/tests/components/test_stalled_connects.py
@@ -91,7 +91,7 @@
         self.assertIs(result, ProbeResult.ACCEPTED)
 
     async def test_target_is_not_blamed_for_its_hosts_stall(self) -> None:
-        """Guard against targets taken for silent by a host that was suspended."""
+        """Guard against a timeout counted at a target by a host that was suspended."""
         translator = mock.Mock()
         translator.write_request.return_value = []
         sender = TargetSender(session=self.session, translator=translator)
--- a/trefoilstage/components/forwarding/server.py
+++ b/trefoilstage/components/forwarding/server.py
@@ -188,7 +188,7 @@
         return sends_elsewhere
 
     async def _handle_request(self, web_request: web.BaseRequest) -> web.StreamResponse:
-        started = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         request: CallerRequest | None = None
         task = asyncio.current_task()
         assert task is not None
@@ -199,7 +199,7 @@
                 raw_target=web_request.raw_path,
                 headers=web_request.headers.items(),
             )
-            state = await self._create_request_state(request, web_request, started)
+            state = await self._create_request_state(request, web_request, started_at)
             if isinstance(state, Refusal):
                 return self._refuse(state, request)
             reply = WebReply(web_request=web_request)
@@ -222,7 +222,7 @@
             self.n_streams -= is_stream
 
     async def _create_request_state(
-        self, request: CallerRequest, web_request: web.BaseRequest, started: float
+        self, request: CallerRequest, web_request: web.BaseRequest, started_at: float
     ) -> RequestState | Refusal:
         configuration = self._board.configuration
         if configuration is None:
@@ -241,10 +241,10 @@
         limit = min(MAX_BODY_BYTES, configuration.limits.max_body_bytes)
         if length > limit:
             return Refusal(reason=Reason.BODY_TOO_LARGE)
-        if self._should_send_elsewhere(route.objective_s, started):
+        if self._should_send_elsewhere(route.objective_s, started_at):
             return LINK_FULL
         body = await web_request.read()
-        body_s = asyncio.get_running_loop().time() - started
+        body_s = asyncio.get_running_loop().time() - started_at
         if len(body) > limit:
             return Refusal(reason=Reason.BODY_TOO_LARGE)
         wait_s = route.timeout_s
@@ -255,9 +255,9 @@
             body=body,
             route=route,
             workspace=workspace,
-            started_at=started,
+            started_at=started_at,
             body_s=body_s,
-            deadline=started + wait_s,
+            deadline=started_at + wait_s,
         )
 
     def _refuse(
