--- a/tests/components/forwarding/test_connections.py
+++ b/tests/components/forwarding/test_connections.py
@@ -101,7 +101,7 @@
         return data
 
 
-class KeptConnectionTest(unittest.IsolatedAsyncioTestCase):
+class ReusedConnectionTest(unittest.IsolatedAsyncioTestCase):
     """Test consecutive requests to one target."""
 
     async def test_complete_answers_share_a_connection(self) -> None:
@@ -220,7 +220,7 @@
             self.assertEqual(target.requests.count("r-1"), 1)
 
     async def test_connection_without_keep_alive_time_is_not_reused(self) -> None:
-        """State a keep-alive timeout of 0 s; the next request connects anew."""
+        """State a keep-alive timeout of 0 s; the next request opens a connection."""
 
         async def serve(
             target: ScriptedTarget, name: str, writer: asyncio.StreamWriter
--- a/tests/components/forwarding/test_full_link.py
+++ b/tests/components/forwarding/test_full_link.py
@@ -12,7 +12,8 @@
 BYTES_PER_S = 10e6 / 8
 OBJECTIVE_S = 0.66
 PREFILL_S = 0.3
-# The load balancer checks readiness, and removes a host after two failed checks.
+# The load balancer checks readiness this often. It removes a host after two failed
+# checks.
 POLL_S = 1.0
 PROMPTS_PER_S = 25
 DURATION_S = 20
--- a/tests/components/forwarding/test_pipeline.py
+++ b/tests/components/forwarding/test_pipeline.py
@@ -44,8 +44,8 @@
     """Replace the pipeline's collaborators and record its calls."""
 
     status: int
-    n_prefilled: list[int] = field(default_factory=list)
-    n_removed: list[int] = field(default_factory=list)
+    prefilled_tokens: list[int] = field(default_factory=list)
+    removed_tokens: list[int] = field(default_factory=list)
 
     async def query_candidates(self, *_: object) -> CandidateInfo:
         return CandidateInfo()
@@ -62,10 +62,10 @@
         return SentPrompt(n_uncached_tokens=17_000, n_queued_tokens=0, sent_at=0.0)
 
     def record_first_token(self, _: object, sent: SentPrompt) -> None:
-        self.n_prefilled.append(sent.n_uncached_tokens)
+        self.prefilled_tokens.append(sent.n_uncached_tokens)
 
     def remove_pending_prefill(self, _: object, sent: SentPrompt) -> None:
-        self.n_removed.append(sent.n_uncached_tokens)
+        self.removed_tokens.append(sent.n_uncached_tokens)
 
     def remove_request(self, *_: object) -> None: ...
 
@@ -153,13 +153,15 @@
         """
         collaborators = await self.send_prompt(500, RouteKind.ONCE)
         self.assertEqual(
-            (collaborators.n_prefilled, collaborators.n_removed), ([], [17_000])
+            (collaborators.prefilled_tokens, collaborators.removed_tokens),
+            ([], [17_000]),
         )
 
     async def test_success_is_a_prefill_sample(self) -> None:
         collaborators = await self.send_prompt(200, RouteKind.ONCE)
         self.assertEqual(
-            (collaborators.n_prefilled, collaborators.n_removed), ([17_000], [])
+            (collaborators.prefilled_tokens, collaborators.removed_tokens),
+            ([17_000], []),
         )
 
 
--- a/tests/components/forwarding/test_placement.py
+++ b/tests/components/forwarding/test_placement.py
@@ -100,8 +100,8 @@
         work = {"engine-3": Work(n_requests=TARGETS[3].slots)}
         self.assertNotEqual(place(work=work, caching_targets=("engine-3",)), "engine-3")
 
-    def test_caching_target_with_full_memory_is_avoided(self) -> None:
-        """Guard against prompts that evict each other from one target's memory."""
+    def test_caching_target_with_full_kv_cache_is_avoided(self) -> None:
+        """Guard against prompts that evict each other from one KV cache."""
         work = {"engine-3": Work(n_requests=32, held_tokens=380_000)}
         self.assertNotEqual(place(work=work, caching_targets=("engine-3",)), "engine-3")
 
--- a/tests/components/forwarding/test_targets.py
+++ b/tests/components/forwarding/test_targets.py
@@ -1,4 +1,4 @@
-"""Test what the chooser stores about targets."""
+"""Test which targets are chosen and what is stored about them."""
 
 import unittest
 from collections.abc import Sequence
@@ -56,7 +56,7 @@
             need=None,
             prompt=(),
             candidate_info=CandidateInfo(),
-            request="r-1",
+            request_id="r-1",
         )
         return target.incarnation if target else ""
 
@@ -69,7 +69,7 @@
             need=need,
             prompt=prompt,
             candidate_info=CandidateInfo(),
-            request="r-1",
+            request_id="r-1",
         )
         return target.incarnation if target else ""
 
@@ -123,8 +123,8 @@
         work = self.workload.get_work(target.incarnation)
         self.assertEqual(work.prompt_tokens, 4_000)
 
-    async def test_memory_counts_until_the_request_ends(self) -> None:
-        """Guard against memory that is released too early or never."""
+    async def test_kv_cache_counts_until_the_request_ends(self) -> None:
+        """Guard against KV cache that counts as free too early or never."""
         target = make_target("i-1")
         prompt = (PromptPart(name="own", n_tokens=17_000),)
         sent = self.chooser.add_request(target, prompt, CandidateInfo())
@@ -134,7 +134,7 @@
         self.chooser.remove_request(target, prompt)
         self.assertEqual(self.workload.get_work(target.incarnation), Work())
 
-    async def test_target_with_full_memory_is_avoided(self) -> None:
+    async def test_target_with_full_kv_cache_is_avoided(self) -> None:
         """Guard against a choice that ignores the configured KV cache size."""
         engine = Engine(slots=64, kv_tokens=100_000, tokens_per_event=5)
         service = TargetService(
--- a/tests/components/forwarding/test_workload.py
+++ b/tests/components/forwarding/test_workload.py
@@ -48,7 +48,7 @@
             timer=self.timer,
         )
         workload.add_future = self.queue_coroutine  # type: ignore[assignment,method-assign]
-        self.waiting: list[Any] = []
+        self.queued: list[Any] = []
         return workload
 
     def register_target(self, name: str) -> None:
@@ -58,7 +58,7 @@
 
     def queue_coroutine(self, coroutine: Any) -> Any:
         """Queue a controller's coroutine, to run it within the test."""
-        self.waiting.append(coroutine)
+        self.queued.append(coroutine)
         return coroutine
 
     def get_link(self, url: str) -> "Link":
@@ -68,8 +68,8 @@
     async def report(self, name: str) -> None:
         """Let a host report its changes, and deliver the reports."""
         await self.workloads[name]._report()
-        while self.waiting:
-            await self.waiting.pop()
+        while self.queued:
+            await self.queued.pop()
 
 
 class RecordedQueries:
@@ -109,12 +109,12 @@
 class FullLinkTest(unittest.IsolatedAsyncioTestCase):
     """Test the query timeout of a host in a large fleet."""
 
-    async def query(self, trip_s: float) -> float:
+    async def query(self, round_trip_s: float) -> float:
         """Return the timeout of the queries to home hosts."""
         board = make_board("host-0", [f"host-{number}" for number in range(20)])
         timer = ManualTimer()
         for _ in range(N_CALLS):
-            board.round_trips.note_answer(trip_s, timer.now())
+            board.round_trips.note_answer(round_trip_s, timer.now())
         link = mock.Mock()
         link.call = mock.AsyncMock(side_effect=PeerUnavailableError("gone"))
         links = mock.Mock()
@@ -142,13 +142,13 @@
 class OutdatedCandidateInfoTest(unittest.TestCase):
     """Test when a host in a large fleet queries the candidates again."""
 
-    def should_query(self, *, n_hosts: int, trip_s: float, age_s: float) -> bool:
+    def should_query(self, *, n_hosts: int, round_trip_s: float, age_s: float) -> bool:
         """Return whether a host queries again, `age_s` after the last query."""
         network = Network(n_hosts)
         workload = network.workloads["host-0"]
         board = workload._board
         for _ in range(N_CALLS):
-            board.round_trips.note_answer(trip_s, 0.0)
+            board.round_trips.note_answer(round_trip_s, 0.0)
         chooser = TargetChooser(
             board=board,
             membership=mock.Mock(),
@@ -160,15 +160,15 @@
         return chooser.should_query_again(0.0)
 
     def test_outdated_information_is_queried_again(self) -> None:
-        self.assertTrue(self.should_query(n_hosts=66, trip_s=0.002, age_s=1.0))
-        self.assertFalse(self.should_query(n_hosts=66, trip_s=0.002, age_s=0.1))
+        self.assertTrue(self.should_query(n_hosts=66, round_trip_s=0.002, age_s=1.0))
+        self.assertFalse(self.should_query(n_hosts=66, round_trip_s=0.002, age_s=0.1))
 
     def test_small_fleet_needs_no_query(self) -> None:
-        self.assertFalse(self.should_query(n_hosts=7, trip_s=0.002, age_s=1.0))
+        self.assertFalse(self.should_query(n_hosts=7, round_trip_s=0.002, age_s=1.0))
 
     def test_full_link_gets_no_more_queries(self) -> None:
         """Guard against late prompts that wait for another reply on a full link."""
-        self.assertFalse(self.should_query(n_hosts=66, trip_s=0.4, age_s=1.0))
+        self.assertFalse(self.should_query(n_hosts=66, round_trip_s=0.4, age_s=1.0))
 
 
 class OlderHostTest(unittest.TestCase):
--- a/trefoilstage/components/forwarding/__init__.py
+++ b/trefoilstage/components/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Forward callers' requests to targets, each within its budget and once."""
+"""Forward callers' requests to targets, within budgets and without unsafe retries."""
--- a/trefoilstage/components/forwarding/connections.py
+++ b/trefoilstage/components/forwarding/connections.py
@@ -27,15 +27,15 @@
 MAX_IDLE_S = 15.0
 # The share of a target's connection limit that idle connections may use.
 IDLE_CONNECTIONS_SHARE = 0.3
-# A path without acknowledgements for this long counts as dead. Callers tolerate a
-# silence of 2 s and more, and a shorter time ended calls that a network interruption of
-# a second had only delayed.
+# A network path without acknowledgements for this long counts as dead. Callers tolerate
+# a silence of 2 s and more. A shorter limit ended requests that a network interruption
+# of a second had only delayed.
 MAX_UNACKNOWLEDGED_MS = 2_000
 # During prefill no data is in flight, so only keep-alive probes detect a dead path.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 N_KEEPALIVE_PROBES = 2
-KEEP_ALIVE_SECONDS = re.compile(r"(?:timeout=)?(\d+)")
+KEEP_ALIVE_PATTERN = re.compile(r"(?:timeout=)?(\d+)")
 
 
 class CheckedResponseHandler(ResponseHandler):
@@ -91,7 +91,9 @@
 class KeepAliveConnector(aiohttp.TCPConnector):
     """Keep a limited number of idle connections to each target."""
 
-    def __init__(self, *, address: str, get_max_idle: Callable[[], int]) -> None:
+    def __init__(
+        self, *, address: str, get_max_idle_connections: Callable[[], int]
+    ) -> None:
         super().__init__(
             limit=0,
             local_addr=(address, 0),
@@ -100,14 +102,14 @@
             socket_factory=open_socket,
         )
         self._factory = partial(make_protocol, asyncio.get_running_loop())
-        self._get_max_idle = get_max_idle
+        self._get_max_idle_connections = get_max_idle_connections
 
     def _release(
         self, key: Any, protocol: ResponseHandler, *, should_close: bool = False
     ) -> None:
         # The idle connections of all hosts must leave room for active requests: a
         # target at its connection limit resets new connections.
-        is_full = len(self._conns.get(key, ())) >= self._get_max_idle()
+        is_full = len(self._conns.get(key, ())) >= self._get_max_idle_connections()
         super()._release(key, protocol, should_close=should_close or is_full)
 
 
@@ -135,8 +137,8 @@
 
 
 def parse_idle_time(headers: Mapping[str, str]) -> float:
-    """Return for how many seconds after an answer an idle connection may be used."""
-    match = KEEP_ALIVE_SECONDS.search(headers.get("Keep-Alive", ""))
+    """Return how long an idle connection may be used after an answer, in seconds."""
+    match = KEEP_ALIVE_PATTERN.search(headers.get("Keep-Alive", ""))
     if match is None:
         return DEFAULT_IDLE_S
     return min(MAX_IDLE_S, max(0.0, int(match[1]) - IDLE_MARGIN_S))
--- a/trefoilstage/components/forwarding/messages.py
+++ b/trefoilstage/components/forwarding/messages.py
@@ -1,4 +1,8 @@
-"""Define the messages about work in progress at the targets."""
+"""Define the messages about work in progress at the targets.
+
+A target is identified by its incarnation. Its home is the host that collects all hosts'
+work at it.
+"""
 
 from dataclasses import dataclass, field
 from typing import Literal
@@ -11,7 +15,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CachedPrompt:
-    """Report that a target processes a prompt, and its KV cache size in tokens."""
+    """Describe a prompt sent to a target, and the size of the target's KV cache."""
 
     target: Name
     kv_tokens: Count
@@ -32,7 +36,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WorkQuery:
-    """Query the home host of some targets for the other hosts' work there.
+    """Query the home of some targets for the work of other hosts there.
 
     The reply also contains how many tokens of a prompt each target has cached.
     """
@@ -45,7 +49,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WorkTotals:
-    """Return the work of all hosts except the querying one, by target."""
+    """Reply to a query with the work of all hosts except the querying one."""
 
     work: dict[Name, Work]
     kept: dict[Name, Count] = field(default_factory=dict)  # cached tokens of the prompt
--- a/trefoilstage/components/forwarding/models.py
+++ b/trefoilstage/components/forwarding/models.py
@@ -6,7 +6,7 @@
 
 
 class RouteKind(StrEnum):
-    """Describe whether requests on a route may be sent again."""
+    """Enumerate how requests on a route are retried and answered."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -31,12 +31,12 @@
     kind: RouteKind
     shares: tuple[ServiceShare, ...]
     timeout_s: float
-    objective_s: float  # an answer within it is on time
+    objective_s: float  # an answer that begins within it is in time
     priority: int  # 0 is the most urgent
     max_attempts: int
     public: bool
     resumable: bool
-    gap_objective_s: float = 0.0  # longest pause between events that is on time
+    gap_objective_s: float = 0.0  # longest pause between events that is in time
     silence_limit_s: float = 2.0  # callers give up after a longer time without data
 
     @property
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallerLimits:
-    """Limit the body size and idle time of callers."""
+    """Describe the limits on a request's body and on idle caller connections."""
 
     max_body_bytes: int = 4_194_304
     idle_timeout_s: float = 15.0
@@ -140,7 +140,7 @@
     host: str
     path: str  # without the query
     raw_target: str  # path and query as sent
-    key: str
+    key: str  # of the caller's workspace
     deadline_s: float | None
     n_prompt_tokens: int
     max_output_tokens: int
--- a/trefoilstage/components/forwarding/peer_work.py
+++ b/trefoilstage/components/forwarding/peer_work.py
@@ -21,7 +21,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class PeerWork:
-    """Store the latest report of each host."""
+    """Store the latest report of each peer host."""
 
     reports: dict[str, ReceivedReport] = field(default_factory=dict)
 
@@ -30,7 +30,7 @@
         self.reports[host] = ReceivedReport(work=work, received_at=now)
 
     def list_work(self, target: str, now: float, except_host: str = "") -> list[Work]:
-        """Return the work at a target by host, without one of the hosts."""
+        """Return the work of each peer at a target, without that of `except_host`."""
         return [
             report.work[target]
             for host, report in self.reports.items()
@@ -50,13 +50,13 @@
 
 @dataclass(kw_only=True, slots=True)
 class HomeTotals:
-    """Store the totals by target that home hosts returned."""
+    """Store the totals that the homes of targets returned, by target."""
 
     totals: dict[str, Work] = field(default_factory=dict)
     received_at: dict[str, float] = field(default_factory=dict)
 
     def receive_totals(self, totals: Mapping[str, Work], now: float) -> None:
-        """Store the totals that the home host of some targets returned."""
+        """Store the totals that the home of some targets returned."""
         self.totals.update(totals)
         self.received_at.update(dict.fromkeys(totals, now))
 
--- a/trefoilstage/components/forwarding/pipeline.py
+++ b/trefoilstage/components/forwarding/pipeline.py
@@ -39,7 +39,7 @@
 
 RETRY_AFTER_S = 0.5
 NO_TARGET = Refusal(reason=Reason.NO_TARGET, retry_after_s=RETRY_AFTER_S)
-MAX_URGENCY = 9
+MAX_URGENCY = 9  # the least urgent; 0 is the most urgent
 
 
 class ForwardingPipeline:
@@ -72,7 +72,8 @@
         if blocked is not None:
             return blocked
         state.service_name = self._pick_service(state.route)
-        # Runs in parallel to the hold: both take a call and are independent.
+        # The query and the hold run in parallel: each takes a call to a peer, and
+        # neither needs the other's result.
         query = asyncio.create_task(self._query_candidates(state))
         hold: EscrowHold | Refusal | None = None
         try:
@@ -186,7 +187,7 @@
             need=self._make_prompt_need(state),
             prompt=state.request.prompt,
             candidate_info=state.candidate_info,
-            request=state.request.request_id,
+            request_id=state.request.request_id,
         )
 
     def _make_prompt_need(self, state: RequestState) -> PromptNeed | None:
@@ -270,8 +271,9 @@
         if isinstance(answer, NotRun) and (
             answer.unreachable or answer.host_was_suspended
         ):
-            # The send put no load on a target. When it counted as a retry, requests
-            # were refused after a few targets failed, although the others were fine.
+            # The send put no load on a target. When such sends counted as retries,
+            # requests were refused after a few targets failed, although the others
+            # worked.
             return True
         return self._chooser.take_retry(service)
 
--- a/trefoilstage/components/forwarding/placement.py
+++ b/trefoilstage/components/forwarding/placement.py
@@ -14,7 +14,7 @@
 
 from trefoilstage.components.forwarding.models import PromptPart, TargetEntry
 from trefoilstage.components.forwarding.prefill_speed import DEFAULT_TOKENS_PER_S
-from trefoilstage.components.forwarding.prompt_cache import USABLE_MEMORY_SHARE
+from trefoilstage.components.forwarding.prompt_cache import USABLE_KV_CACHE_SHARE
 from trefoilstage.components.forwarding.work import Work
 from trefoilstage.util.hashing import rank_by_rendezvous, rank_names
 
@@ -52,7 +52,7 @@
 
     # Cached tokens of the prompt, by incarnation.
     cached_tokens: Mapping[str, int] = field(default_factory=dict)
-    n_candidates: int = N_FIRST_CANDIDATES  # that were queried
+    n_candidates: int = N_FIRST_CANDIDATES  # to choose from
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -94,13 +94,13 @@
 
 
 def is_full(option: TargetOption, need: PromptNeed) -> bool:
-    """Return whether a target lacks a slot or memory for one more prompt."""
+    """Return whether a target has no slot or too little KV cache for a prompt."""
     if option.work.n_requests >= option.target.slots:
         return True
     if option.kv_tokens is None:
         return False
-    room = USABLE_MEMORY_SHARE * option.kv_tokens - option.work.held_tokens
-    return need.n_tokens > room
+    free_tokens = USABLE_KV_CACHE_SHARE * option.kv_tokens - option.work.held_tokens
+    return need.n_tokens > free_tokens
 
 
 def is_late(option: TargetOption, need: PromptNeed) -> bool:
@@ -131,10 +131,10 @@
 
 
 def choose_by_load(
-    options: Sequence[TargetOption], data_center: str, request: str
+    options: Sequence[TargetOption], data_center: str, request_id: str
 ) -> TargetEntry:
     """Return the target with the fewest requests; prefer this data center on a tie."""
-    order = rank_by_rendezvous(request, [option.target.name for option in options])
+    order = rank_by_rendezvous(request_id, [option.target.name for option in options])
     position = {name: number for number, name in enumerate(order)}
 
     def rank(option: TargetOption) -> tuple[int, bool, int]:
--- a/trefoilstage/components/forwarding/prefill_speed.py
+++ b/trefoilstage/components/forwarding/prefill_speed.py
@@ -9,14 +9,15 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-# Short enough that a change of speed, up or down, shows after a few prompts.
+# Short enough for the estimate to follow a change of speed within a few prompts.
 HALF_LIFE_S = 8.0
 # The time of shorter prompts is mostly step time and network, not prefill.
 MIN_SAMPLE_TOKENS = 2_000
 # Assumed before the first sample. The engines of three sites process 62,000 to 66,000
 # prompt tokens per second, a third fewer where prompts are long.
 DEFAULT_TOKENS_PER_S = 55_000.0
-# Weights of the assumed speed against the samples, in seconds of prefill.
+# The weight of the default speed in the fleet's mean, and of that mean in a target's
+# speed, each as if it had been observed for so many seconds of prefill.
 DEFAULT_WEIGHT_S = 1.0
 FLEET_WEIGHT_S = 1.0
 
--- a/trefoilstage/components/forwarding/prompt_cache.py
+++ b/trefoilstage/components/forwarding/prompt_cache.py
@@ -14,7 +14,7 @@
 from trefoilstage.components.forwarding.models import PromptPart
 
 # Answers being generated and unreported prompts from peer hosts occupy the rest.
-USABLE_MEMORY_SHARE = 0.9
+USABLE_KV_CACHE_SHARE = 0.9
 
 
 @dataclass(kw_only=True, slots=True)
@@ -63,7 +63,7 @@
         """Add a prompt that a target processes."""
         cache = self.caches.get(target)
         if cache is None:
-            cache = PromptCache(capacity_tokens=int(USABLE_MEMORY_SHARE * kv_tokens))
+            cache = PromptCache(capacity_tokens=int(USABLE_KV_CACHE_SHARE * kv_tokens))
             self.caches[target] = cache
         cache.add(prompt)
 
--- a/trefoilstage/components/forwarding/relay.py
+++ b/trefoilstage/components/forwarding/relay.py
@@ -13,7 +13,7 @@
 
 
 class AnswerRelay:
-    """Pass on plain bodies as a whole, and streams event by event."""
+    """Pass on streams event by event, and other answers as a whole."""
 
     def __init__(self, *, board: FleetBoard) -> None:
         self._board = board
@@ -34,7 +34,7 @@
     async def _relay_body(
         self, state: RequestState, reply: CallerReply, answer: OpenAnswer
     ) -> None:
-        # Read completely before the first byte is passed on, so that a retryable
+        # The body is read completely before it is passed on, so that a retryable
         # request can still be sent again if the answer breaks off.
         parts = [data async for data in answer.read()]
         state.complete = True
--- a/trefoilstage/components/forwarding/reply.py
+++ b/trefoilstage/components/forwarding/reply.py
@@ -32,7 +32,7 @@
         *,
         close: bool,
     ) -> None:
-        """Set a complete answer."""
+        """Set the complete answer, in place of a stream."""
 
 
 class WebReply:
@@ -77,7 +77,7 @@
         *,
         close: bool,
     ) -> None:
-        """Set a complete answer."""
+        """Set the complete answer, in place of a stream."""
         response = web.Response(status=status, body=body)
         set_headers(response, headers)
         if close:
--- a/trefoilstage/components/forwarding/request_state.py
+++ b/trefoilstage/components/forwarding/request_state.py
@@ -29,7 +29,7 @@
     n_possible_runs: int = 0  # sends that a target may have run
     n_sends: int = 0
     excluded: set[str] = field(default_factory=set)  # incarnations not to try again
-    # State of the targets that may get the prompt.
+    # What peers reported about the targets that may get the prompt.
     candidate_info: CandidateInfo = field(default_factory=CandidateInfo)
     candidates_queried_at: float = 0.0
     last_event_id: int | None = None
@@ -70,7 +70,7 @@
 
     @property
     def progress_s(self) -> float:
-        """Return for how many seconds the current target has been sending data."""
+        """Return the seconds from the current target's first data to its last."""
         return self.target_last_data_at - self.target_first_data_at
 
     def record_send(self, target: str) -> None:
@@ -94,7 +94,7 @@
         self.caller_last_data_at = now
 
     def count_spent(self) -> int:
-        """Return the upper bound of the tokens that the workspace is billed."""
+        """Return the tokens to bill, an upper bound of what the answer has used."""
         if self.n_possible_runs == 0:
             return 0
         unread = 0 if self.complete else MAX_UNREAD_EVENTS
--- a/trefoilstage/components/forwarding/retries.py
+++ b/trefoilstage/components/forwarding/retries.py
@@ -3,9 +3,9 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-# Shares of the limits that the operators configure. A host counts only its own
-# requests, and requests are spread unevenly over the hosts. The hosts' retries must
-# stay below the limit in total, also when most requests reach few hosts.
+# A host applies these shares of the limits that the operators configure. It counts only
+# its own requests, and requests are spread unevenly over the hosts. The hosts' retries
+# must stay below the limit in total, also when most requests reach few hosts.
 SAFE_RATIO_SHARE = 0.6
 SAFE_SLACK_SHARE = 0.6
 
@@ -18,8 +18,8 @@
     the retries from doubling the load on the failing targets.
     """
 
-    ratio: float
-    slack: float
+    ratio: float  # retries per request
+    slack: float  # further retries of the whole fleet in a window
     window_s: float
     requests: deque[float] = field(default_factory=deque)
     retries: deque[float] = field(default_factory=deque)
--- a/trefoilstage/components/forwarding/sender.py
+++ b/trefoilstage/components/forwarding/sender.py
@@ -40,8 +40,8 @@
     """Report that a target certainly did not run a request."""
 
     reason: str
-    misdirected: bool = False
-    busy: bool = False
+    misdirected: bool = False  # another target has this address
+    busy: bool = False  # the target refused it for lack of capacity
     unreachable: bool = False  # no connection could be opened
     timed_out: bool = False  # the connection attempt timed out
     host_was_suspended: bool = False  # this host was suspended while it connected
@@ -89,12 +89,14 @@
 def open_target_session(address: str, board: FleetBoard) -> aiohttp.ClientSession:
     """Return a session that reuses connections to targets while they are usable."""
 
-    def get_max_idle() -> int:
+    def get_max_idle_connections() -> int:
         services = board.configuration.services if board.configuration else {}
         limits = (service.max_connections for service in services.values())
         return limit_idle_connections(limits, len(board.peers) + 1)
 
-    connector = KeepAliveConnector(address=address, get_max_idle=get_max_idle)
+    connector = KeepAliveConnector(
+        address=address, get_max_idle_connections=get_max_idle_connections
+    )
     return open_session(connector, CheckedResponse)
 
 
--- a/trefoilstage/components/forwarding/server.py
+++ b/trefoilstage/components/forwarding/server.py
@@ -40,8 +40,9 @@
 SHUTTING_DOWN = Refusal(
     reason=Reason.SHUTTING_DOWN, retry_after_s=RETRY_ELSEWHERE_AFTER_S
 )
-# The load balancer checks once a second and removes a host after two failed checks.
-N_BALANCER_MISSES = 2
+# The load balancer checks once a second and removes a host after two failed checks in
+# a row.
+N_FAILED_CHECKS_UNTIL_REMOVAL = 2
 # A request waits for the link twice: for its token hold and for its send to a target.
 N_LINK_WAITS = 2
 LINK_FULL = Refusal(
@@ -49,7 +50,7 @@
     retry_after_s=RETRY_ELSEWHERE_AFTER_S,
     detail="this host's link is full",
 )
-# Fallback if the pipeline returns neither an answer nor a refusal.
+# Used if the pipeline returns neither an answer nor a refusal.
 NO_ANSWER = Refusal(reason=Reason.TARGET_FAILED, effect=Effect.UNKNOWN)
 NOT_READY = Refusal(reason=Reason.NOT_READY, retry_after_s=RETRY_AFTER_S)
 
@@ -74,8 +75,8 @@
         self._refuses_streams = False
         self._refuses_all = False
         self._request_tasks: set[asyncio.Task[Any]] = set()
-        self._was_link_full = False
-        self._n_not_ready = 0  # consecutive failed readiness checks
+        self._was_sending_elsewhere = False
+        self._n_failed_checks = 0  # consecutive, of readiness
         self.n_streams = 0
 
     @property
@@ -85,7 +86,7 @@
 
     async def on_start(self) -> None:
         """Listen on the caller port and the readiness port."""
-        callers = web.Server(
+        caller_server = web.Server(
             self._handle_request,
             access_log=None,
             handler_cancellation=True,
@@ -95,13 +96,13 @@
             auto_decompress=False,
             request_factory=make_web_request,
         )
-        self._caller_runner = web.ServerRunner(callers, shutdown_timeout=0.5)
+        self._caller_runner = web.ServerRunner(caller_server, shutdown_timeout=0.5)
         await self._caller_runner.setup()
         self.caller_port = await self._listen(
             self._caller_runner, self._settings.caller_port
         )
-        ready = web.Server(self._handle_ready, access_log=None)
-        self._ready_runner = web.ServerRunner(ready, shutdown_timeout=0.1)
+        ready_server = web.Server(self._handle_ready, access_log=None)
+        self._ready_runner = web.ServerRunner(ready_server, shutdown_timeout=0.1)
         await self._ready_runner.setup()
         self.ready_port = await self._listen(
             self._ready_runner, self._settings.ready_port
@@ -110,8 +111,8 @@
     async def _listen(self, runner: web.ServerRunner, port: int) -> int:
         site = web.TCPSite(runner, self._settings.address, port, backlog=1024)
         await site.start()
-        bound: int = runner.addresses[0][1]
-        return bound
+        bound_port: int = runner.addresses[0][1]
+        return bound_port
 
     async def on_stop(self) -> None:
         """Stop listening, refuse the requests in flight, then close."""
@@ -156,29 +157,30 @@
 
     async def _handle_ready(self, request: web.BaseRequest) -> web.Response:
         serving = self._board.phase is Phase.SERVING
-        ready = serving and not self._check_link()
-        self._n_not_ready = 0 if ready else self._n_not_ready + 1
+        ready = serving and not self._can_peers_serve_faster()
+        self._n_failed_checks = 0 if ready else self._n_failed_checks + 1
         return web.Response(status=200 if ready else 503)
 
     def _should_send_elsewhere(self, objective_s: float, now: float) -> bool:
-        """Return whether a request would be late here because of the full link.
+        """Return whether to refuse a request that the full link would make late.
 
         Requests are refused only after the load balancer has removed this host;
         otherwise callers' retries would reach this host again.
         """
-        if self._n_not_ready < N_BALANCER_MISSES or not self._board.sends_elsewhere(
-            now
+        if (
+            self._n_failed_checks < N_FAILED_CHECKS_UNTIL_REMOVAL
+            or not self._board.sends_elsewhere(now)
         ):
             return False
         wait_s = N_LINK_WAITS * self._board.round_trips.estimate(now)
         return wait_s > IN_TIME_OBJECTIVE_SHARE * objective_s
 
-    def _check_link(self) -> bool:
+    def _can_peers_serve_faster(self) -> bool:
         """Return whether peers can serve callers faster, and log when that changes."""
         now = asyncio.get_running_loop().time()
         sends_elsewhere = self._board.sends_elsewhere(now)
-        if sends_elsewhere != self._was_link_full:
-            self._was_link_full = sends_elsewhere
+        if sends_elsewhere != self._was_sending_elsewhere:
+            self._was_sending_elsewhere = sends_elsewhere
             log_event(
                 Event.LINK_FULL if sends_elsewhere else Event.LINK_HAS_ROOM,
                 host=self._board.host,
@@ -247,9 +249,9 @@
         body_s = asyncio.get_running_loop().time() - started_at
         if len(body) > limit:
             return Refusal(reason=Reason.BODY_TOO_LARGE)
-        wait_s = route.timeout_s
+        timeout_s = route.timeout_s
         if request.deadline_s is not None:
-            wait_s = min(wait_s, request.deadline_s)
+            timeout_s = min(timeout_s, request.deadline_s)
         return RequestState(
             request=request,
             body=body,
@@ -257,7 +259,7 @@
             workspace=workspace,
             started_at=started_at,
             body_s=body_s,
-            deadline=started_at + wait_s,
+            deadline=started_at + timeout_s,
         )
 
     def _refuse(
--- a/trefoilstage/components/forwarding/shared_prefill_speeds.py
+++ b/trefoilstage/components/forwarding/shared_prefill_speeds.py
@@ -13,8 +13,8 @@
     sum_totals,
 )
 
-# Peers beyond this number are dropped, the oldest first. Their totals have decayed to
-# almost nothing long before.
+# Above this number, the peer that was the first to report is dropped. The totals of a
+# peer that has ended have decayed to almost nothing long before.
 MAX_PEERS = 500
 # The mean of all targets changes slowly. Computing it for each choice would cost a host
 # in a fleet of 90 hosts and 70 targets more than the request itself.
@@ -60,7 +60,7 @@
     def get_totals(
         self, target: str, now: float, except_host: str = ""
     ) -> PrefillTotals:
-        """Return a target's totals over all hosts except one."""
+        """Return a target's totals over all hosts except `except_host`."""
         known_totals = [self.own[target]] if target in self.own else []
         known_totals += [
             by_target[target]
--- a/trefoilstage/components/forwarding/targets.py
+++ b/trefoilstage/components/forwarding/targets.py
@@ -27,7 +27,8 @@
 from trefoilstage.helpers.events import Event, log_event
 from trefoilstage.timer import TimerService
 
-# On a full link, another query costs more of the objective than it can save.
+# The time for all queries about one prompt. On a full link, another query costs more of
+# the objective than it can save.
 MAX_TOTAL_QUERY_S = 0.05
 
 
@@ -68,15 +69,15 @@
         need: PromptNeed | None,
         prompt: Sequence[PromptPart],
         candidate_info: CandidateInfo,
-        request: str,
+        request_id: str,
     ) -> TargetEntry | None:
-        """Return the target for a request, None if no target is usable."""
+        """Return the target for a request, None if no target can be chosen."""
         usable = self._list_usable(service, excluded)
         if not usable:
             return None
         if need is None:
             options = [self._make_option(target) for target in usable]
-            return choose_by_load(options, self._board.data_center, request)
+            return choose_by_load(options, self._board.data_center, request_id)
         candidates = rank_candidates(usable, need.subject)
         if self._workload.is_large():
             candidates = candidates[: candidate_info.n_candidates]
@@ -107,15 +108,15 @@
     def _list_usable(self, service: str, excluded: set[str]) -> list[TargetEntry]:
         now = self._timer.now()
         ready = self._board.targets.list_ready(service, now)
-        others = [target for target in ready if target.incarnation not in excluded]
+        allowed = [target for target in ready if target.incarnation not in excluded]
         healthy = [
             target
-            for target in others
+            for target in allowed
             if self._get_health(target).may_send(now, retry=False)
         ]
         # If all targets are ejected, use them anyway: one may have recovered, and
         # otherwise every request would be refused.
-        return healthy or others
+        return healthy or allowed
 
     def _make_option(
         self, target: TargetEntry, n_cached_tokens: int = 0
@@ -145,8 +146,8 @@
         query_until = self._timer.now() + MAX_TOTAL_QUERY_S
         while n_queried < min(len(ranked), MAX_CANDIDATES):
             n_wanted = max(N_FIRST_CANDIDATES, 2 * n_queried)
-            names = [target.incarnation for target in ranked[n_queried:n_wanted]]
-            cached_tokens |= await self._workload.query_homes(names, prompt)
+            incarnations = [target.incarnation for target in ranked[n_queried:n_wanted]]
+            cached_tokens |= await self._workload.query_homes(incarnations, prompt)
             n_queried = n_wanted
             options = self._list_options(ranked[:n_queried], prompt, cached_tokens)
             may_query = self._timer.now() < query_until
@@ -161,7 +162,7 @@
         # same targets.
         if not self._workload.is_large() or now - queried_at <= MAX_TOTALS_AGE_S:
             return False
-        # On a full link, the reply would cost more time than it can save.
+        # On a full link, waiting for the reply would cost more time than it can save.
         return self._board.round_trips.estimate(now) <= MAX_TOTAL_QUERY_S
 
     def has_other_target(self, service: str, excluded: set[str]) -> bool:
@@ -184,20 +185,20 @@
         prompt: Sequence[PromptPart],
         candidate_info: CandidateInfo,
     ) -> SentPrompt:
-        """Count a request that is sent to a target; return its prefill queue."""
-        name = target.incarnation
+        """Count a request sent to a target; return the prefill queue that it meets."""
+        incarnation = target.incarnation
         n_tokens = count_tokens(prompt)
         sent = SentPrompt(
             n_uncached_tokens=n_tokens
             - self._count_cached(target, prompt, candidate_info.cached_tokens),
-            n_queued_tokens=self._workload.get_work(name).prompt_tokens,
+            n_queued_tokens=self._workload.get_work(incarnation).prompt_tokens,
             sent_at=self._timer.now(),
         )
         if prompt:
             kv_tokens = self._get_kv_tokens(target) or 0
-            self._workload.add_prompt(name, kv_tokens, prompt)
+            self._workload.add_prompt(incarnation, kv_tokens, prompt)
         self._workload.adjust_work(
-            name,
+            incarnation,
             n_requests=1,
             prompt_tokens=sent.n_uncached_tokens,
             held_tokens=n_tokens,
@@ -234,14 +235,14 @@
     def record_answer(
         self, target: TargetEntry, answer: OpenAnswer | NotRun | InvalidAnswer
     ) -> None:
-        """Update a target's health by the outcome of a request."""
+        """Update a target's health, and its directory entry, by a request's outcome."""
         now = self._timer.now()
         health = self._get_health(target)
         if isinstance(answer, OpenAnswer):
             if answer.head.status < 500:
                 health.record_success()
                 return
-            failed = health.record_failure(now)
+            was_ejected = health.record_failure(now)
         elif isinstance(answer, NotRun) and answer.misdirected:
             self._board.targets.remove_incarnation(target)
             log_event(Event.TARGET_REPLACED, target=target.name)
@@ -252,9 +253,9 @@
         elif isinstance(answer, NotRun) and answer.host_was_suspended:
             return
         elif isinstance(answer, NotRun) and answer.timed_out:
-            failed = health.record_connect_timeout(now)
+            was_ejected = health.record_connect_timeout(now)
         else:
-            failed = health.record_failure(now)
+            was_ejected = health.record_failure(now)
         unreachable = isinstance(answer, NotRun) and answer.unreachable
         if unreachable and self._board.targets.switch_to_other_start(target):
             log_event(
@@ -263,7 +264,7 @@
                 started_ms=target.started_ms,
                 used_ms=self._board.targets.starts[target.name].latest,
             )
-        if failed:
+        if was_ejected:
             log_event(Event.TARGET_EJECTED, target=target.name)
 
     def record_broken_answer(self, target: TargetEntry) -> None:
@@ -281,7 +282,9 @@
     def _remove_ended(self) -> None:
         listed = self._board.targets.list_incarnations()
         self._healths = {
-            name: health for name, health in self._healths.items() if name in listed
+            incarnation: health
+            for incarnation, health in self._healths.items()
+            if incarnation in listed
         }
 
     def _get_retry_budget(self, service: str) -> RetryBudget:
--- a/trefoilstage/components/forwarding/translator.py
+++ b/trefoilstage/components/forwarding/translator.py
@@ -1,4 +1,4 @@
-"""Define the interface that translates requests and answers from and to HTTP."""
+"""Define the interface between the pipeline and the headers of a wire protocol."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -18,8 +18,8 @@
 
     workspace: str
     deadline_s: float | None
-    urgency: int | None = None
-    resume_after: int | None = None
+    urgency: int | None = None  # 0 is the most urgent
+    resume_after: int | None = None  # id of the last event that the caller got
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -29,10 +29,10 @@
     status: int
     not_run: bool  # the target states that it did not run the request
     misdirected: bool  # the address now belongs to another target
-    has_seal: bool
+    has_seal: bool  # the answer carries the target's signature
     matches_request: bool  # the answer carries the id of this request
     has_request_id: bool  # the answer carries the id of a request
-    is_encoded: bool
+    is_encoded: bool  # the body has a content encoding
     closing: bool
 
     @property
--- a/trefoilstage/components/forwarding/work.py
+++ b/trefoilstage/components/forwarding/work.py
@@ -11,8 +11,8 @@
     """Describe the load that one or several hosts put on a target."""
 
     n_requests: Count = 0
-    prompt_tokens: Count = 0  # prefill not finished yet
-    held_tokens: Count = 0  # of the prompts of all running requests
+    prompt_tokens: Count = 0  # uncached, prefill not finished yet
+    held_tokens: Count = 0  # in the KV cache, by prompts of running requests
 
 
 def sum_work(items: Iterable[Work]) -> Work:
--- a/trefoilstage/components/forwarding/workload.py
+++ b/trefoilstage/components/forwarding/workload.py
@@ -1,4 +1,4 @@
-"""Exchange the hosts' work in progress at the targets.
+"""Exchange the hosts' work in progress at the targets, by incarnation of the target.
 
 In a small fleet, each host reports its work to all peers. In a large fleet, each target
 has a home: the host that collects all hosts' work at this target. Hosts report only to
@@ -45,7 +45,8 @@
 LONG_PROMPT_TOKENS = 2_000
 COALESCE_DELAY_S = 0.003
 REPORT_TIMEOUT_S = 0.5
-# A host not heard from for longer is no home; heartbeats may be this late.
+# A host is not used as a home after a longer time without a heartbeat. Heartbeats may
+# be this late.
 MAX_HOME_SILENCE_S = 3.0
 # Unchanged work is reported again before its previous report expires at the peers.
 REPEAT_INTERVAL_S = MAX_REPORT_AGE_S / 2
@@ -157,8 +158,8 @@
         if not self.is_large():
             return {}
         calls = [
-            self._query_home(home, names, prompt)
-            for home, names in self._group_by_home(targets).items()
+            self._query_home(home, group, prompt)
+            for home, group in self._group_by_home(targets).items()
             if home != self._board.host
         ]
         cached_tokens: dict[str, int] = {}
@@ -189,8 +190,8 @@
         return reply.kept
 
     def _get_query_timeout(self) -> float:
-        trip_s = self._board.round_trips.estimate(self._timer.now())
-        wanted_s = max(QUERY_TIMEOUT_S, QUERY_TIMEOUT_ROUND_TRIPS * trip_s)
+        round_trip_s = self._board.round_trips.estimate(self._timer.now())
+        wanted_s = max(QUERY_TIMEOUT_S, QUERY_TIMEOUT_ROUND_TRIPS * round_trip_s)
         return min(wanted_s, MAX_QUERY_TIMEOUT_S)
 
     async def _answer_query(self, message: WorkQuery) -> WorkTotals:
@@ -241,7 +242,7 @@
         totals = self._prefill_speeds.pop_changed(now)
         changed = self._find_changed(now)
         prompts, self._unreported_prompts = self._unreported_prompts, []
-        changed.update(sent.target for sent in prompts)
+        changed.update(prompt.target for prompt in prompts)
         changed.update(totals)
         if not changed:
             return
@@ -288,31 +289,32 @@
     ) -> dict[str, PrefillTotals]:
         if not self.is_large():
             return totals
-        return {name: item for name, item in totals.items() if name in work}
+        return {target: item for target, item in totals.items() if target in work}
 
     def _select_prompts(
         self, prompts: list[CachedPrompt], work: Mapping[str, Work]
     ) -> tuple[CachedPrompt, ...]:
         if not self.is_large():
             return tuple(prompts)
-        return tuple(sent for sent in prompts if sent.target in work)
+        return tuple(prompt for prompt in prompts if prompt.target in work)
 
     def _select_recipients(self, changed: set[str]) -> dict[str, dict[str, Work]]:
-        """Return the work to report by host: all, or that of the host's targets."""
+        """Return the work to report to each host: all, or at the targets of a home."""
         if not self.is_large():
             return dict.fromkeys(self._board.peers, self._reported)
         homes = self._group_by_home(self._reported.keys() | changed)
         return {
-            home: {name: self._reported.get(name, NO_WORK) for name in names}
-            for home, names in homes.items()
-            if not changed.isdisjoint(names)
+            home: {target: self._reported.get(target, NO_WORK) for target in group}
+            for home, group in homes.items()
+            if not changed.isdisjoint(group)
         }
 
     async def _send_report(self, url: str, report: WorkReport) -> None:
         try:
             await self._links.get_link(url).tell(report, timeout_s=REPORT_TIMEOUT_S)
         except PeerUnavailableError:
-            # Reports are hints; the heartbeats show whether the peer is lost.
+            # A lost report only makes choices worse, and heartbeats show whether the
+            # peer is lost.
             return
 
     async def _receive_report(self, report: WorkReport) -> None:
@@ -322,5 +324,5 @@
         self._prefill_speeds.receive_totals(report.host, report.readings, now)
 
     def _add_to_caches(self, prompts: Iterable[CachedPrompt]) -> None:
-        for sent in prompts:
-            self._caches.add(sent.target, sent.kv_tokens, sent.parts)
+        for prompt in prompts:
+            self._caches.add(prompt.target, prompt.kv_tokens, prompt.parts)
