--- a/tests/components/escrow/common.py
+++ b/tests/components/escrow/common.py
@@ -173,7 +173,7 @@
             await self.homes[host]._recover(workspace)
 
     def count_unavailable(self, workspace: str) -> int:
-        """Return the drawn tokens in the store, less those homes may still grant."""
+        """Return the tokens drawn in the store, less what homes may still grant."""
         found = self.store.partitions[Topic.ACCOUNTS, 0].list_newest()
         values = {record.key: record.value for record in found}
         record = ACCOUNT_CODEC.decode(values[workspace] or b"")
--- a/tests/components/escrow/test_home.py
+++ b/tests/components/escrow/test_home.py
@@ -179,7 +179,7 @@
             cluster.update_all_peers()
             if number == 50:
                 await home._check_stocks()
-                await home._draws[WORKSPACE]
+                await home._account_tasks[WORKSPACE]
                 cluster.store.down = True
             cluster.timer.time += 0.1
             held = await cluster.hold(
--- a/tests/components/escrow/test_lock.py
+++ b/tests/components/escrow/test_lock.py
@@ -91,7 +91,7 @@
     async def test_proof_about_a_predecessor_is_passed_on_without_locked_tokens(
         self,
     ) -> None:
-        """Restart a home twice before its first incarnation is settled."""
+        """Restart a home twice before its first incarnation is retired."""
         cluster = EscrowCluster(prepaid=200_000, home="brest-1")
         cluster.start("brest-1")
         cluster.start("lorient-1")
@@ -130,7 +130,7 @@
             if number % 4 == 0:
                 await cluster.run_lock_keeper("brest-1")
             await cluster.homes["brest-1"]._check_stocks()
-            draw = cluster.homes["brest-1"]._draws.get(WORKSPACE)
+            draw = cluster.homes["brest-1"]._account_tasks.get(WORKSPACE)
             if draw is not None:
                 await draw
             held = await cluster.hold(
@@ -154,7 +154,7 @@
         cluster.update_all_peers()
         cluster.home = "quimper-1"
         await cluster.homes["quimper-1"]._check_stocks()
-        await cluster.homes["quimper-1"]._draws[WORKSPACE]
+        await cluster.homes["quimper-1"]._account_tasks[WORKSPACE]
         cluster.timer.time += 1.0
         cluster.update_all_peers()
         await cluster.homes["quimper-1"]._recover(WORKSPACE)
@@ -234,7 +234,7 @@
         await cluster.keepers["brest-1"].renew()
         self.assertTrue(lock.is_open(cluster.timer.time))
         await home._check_stocks()
-        await home._draws[WORKSPACE]
+        await home._account_tasks[WORKSPACE]
         await cluster.keepers["brest-1"].renew()
         self.assertFalse(lock.is_open(cluster.timer.time))
 
@@ -249,7 +249,7 @@
         change = StockChange(tokens=0, locked=account.unused)
         cluster.store.late_share = 1.0
         with self.assertRaises(StoreUnavailableError):
-            await cluster.homes["brest-1"]._records.change(
+            await cluster.homes["brest-1"]._account_store.change(
                 account, change, account.listed_requesters
             )
         self.assertEqual(account.get_available(cluster.timer.time), 0)
@@ -272,8 +272,8 @@
         cluster.store.lose_share = 0.0
         account = home._accounts[WORKSPACE]
         # Reset the home's end offset to the one before the return.
-        home._records._end_offsets[0] = account.pending_at
-        await home._records.put(account, account.record)
+        home._account_store._end_offsets[0] = account.pending_at
+        await home._account_store.put(account, account.record)
         self.assertLessEqual(account.unused, 1_000)
 
 
--- a/tests/components/escrow/test_recovery.py
+++ b/tests/components/escrow/test_recovery.py
@@ -30,8 +30,8 @@
             cluster.timer.time += 0.1
             cluster.update_all_peers()
             await cluster.homes["quimper-1"]._check_stocks()
-            if WORKSPACE in cluster.homes["quimper-1"]._draws:
-                await cluster.homes["quimper-1"]._draws[WORKSPACE]
+            if WORKSPACE in cluster.homes["quimper-1"]._account_tasks:
+                await cluster.homes["quimper-1"]._account_tasks[WORKSPACE]
             name = f"more-{number}"
             held = await cluster.hold("quimper-1", "lorient-1", WORKSPACE, name, 1_000)
             self.assertTrue(held, number)
--- a/tests/components/escrow/test_rosters.py
+++ b/tests/components/escrow/test_rosters.py
@@ -105,7 +105,7 @@
             cluster.timer.time += 0.1
             cluster.update_all_peers()
             await cluster.homes["brest-0"]._check_stocks()
-            draw = cluster.homes["brest-0"]._draws.get(WORKSPACE)
+            draw = cluster.homes["brest-0"]._account_tasks.get(WORKSPACE)
             if draw is not None:
                 await draw
         return cluster
--- a/tests/components/escrow/test_start.py
+++ b/tests/components/escrow/test_start.py
@@ -27,7 +27,7 @@
         """Let the home check its stocks; return whether it draws."""
         home = cluster.homes["brest-0"]
         await home._check_stocks()
-        draw = home._draws.get(WORKSPACE)
+        draw = home._account_tasks.get(WORKSPACE)
         if draw is not None:
             await draw
         return draw is not None
--- a/tests/components/escrow/test_stock.py
+++ b/tests/components/escrow/test_stock.py
@@ -16,8 +16,8 @@
     free: int = 800_000,
     unused: int = 0,
     locked: int = 0,
-    waiting: int = 0,
-    demand: float = 27_000.0,
+    waiting_tokens: int = 0,
+    demand_per_s: float = 27_000.0,
 ) -> StockState:
     """Return the state of a home whose workspace uses 27,000 tokens per second."""
     return StockState(
@@ -25,8 +25,8 @@
         free=free,
         unused=unused,
         locked=locked,
-        waiting_tokens=waiting,
-        demand_per_s=demand,
+        waiting_tokens=waiting_tokens,
+        demand_per_s=demand_per_s,
     )
 
 
@@ -40,7 +40,7 @@
         may go unused before callers are refused falsely.
         """
         for demand in (0.0, 1_000.0, 27_000.0, 1_000_000.0):
-            state = make_state(free=333_000, demand=demand)
+            state = make_state(free=333_000, demand_per_s=demand)
             targets = [
                 compute_target_stock(state, rank)
                 for rank in (HomeRank.FIRST, HomeRank.SECOND)
@@ -68,20 +68,20 @@
 
     def test_draw_covers_waiting_requests(self) -> None:
         """Let a request of 54,000 tokens wait; the draw leaves as many unlocked."""
-        change = plan_change(make_state(waiting=54_000), HomeRank.FIRST)
+        change = plan_change(make_state(waiting_tokens=54_000), HomeRank.FIRST)
         assert change is not None
         self.assertGreaterEqual(change.tokens - change.locked, 54_000)
 
     def test_last_tokens_are_unlocked_for_waiting_requests(self) -> None:
         """Let a request wait with no tokens free; it gets locked ones."""
-        state = make_state(free=0, unused=9_000, locked=9_000, waiting=2_000)
+        state = make_state(free=0, unused=9_000, locked=9_000, waiting_tokens=2_000)
         change = plan_change(state, HomeRank.FIRST)
         assert change is not None
         self.assertEqual(change.tokens, 0)
         self.assertLessEqual(change.locked, 7_000)
 
     def test_previous_home_returns_all_tokens(self) -> None:
-        state = make_state(unused=100_000, locked=80_000, demand=0.0)
+        state = make_state(unused=100_000, locked=80_000, demand_per_s=0.0)
         change = plan_change(state, HomeRank.NONE)
         assert change is not None
         self.assertEqual((change.tokens, change.locked), (-100_000, 0))
--- a/trefoilstage/components/escrow/__init__.py
+++ b/trefoilstage/components/escrow/__init__.py
@@ -1,1 +1,1 @@
-"""Reserve tokens of prepaid budgets for requests, from escrow drawn on the store."""
+"""Hold tokens for requests from escrow: prepaid tokens that a home draws in advance."""
--- a/trefoilstage/components/escrow/account.py
+++ b/trefoilstage/components/escrow/account.py
@@ -20,8 +20,8 @@
 LOW_BALANCE_SHARE = 0.1
 MAX_LOW_BALANCE_SHARE = 0.5
 LONG_REQUEST_TOKENS = 4_000
-# Share of the prepaid tokens from which a budget counts as exhausted; up to 3% may go
-# unused without a refusal being false.
+# A budget counts as exhausted when more than this share of it is spent or held. Up to
+# 3% may go unused; a refusal with more than that left would be false.
 EXHAUSTED_SHARE = 0.97
 MAX_REMEMBERED_SETTLEMENTS = 2_000
 
@@ -68,7 +68,7 @@
 
     @property
     def locked(self) -> int:
-        """Return the most tokens that the store may have as locked here."""
+        """Return the most tokens that the store may record as locked here."""
         holder = self.record.holders.get(self.incarnation)
         pending_locked = (change.locked for change in self.pending)
         return max(holder.locked if holder else 0, *pending_locked, 0)
@@ -90,7 +90,7 @@
 
     @property
     def has_used_locked(self) -> bool:
-        """Return whether tokens are in use that the store may have as locked."""
+        """Return whether tokens that the store may record as locked are in use."""
         return self.locked > 0 and self.unused < self.locked
 
     def get_available(self, now: float) -> int:
@@ -196,8 +196,8 @@
         Tokens drawn by lost hosts make a budget look used up. The caller is told
         that its balance is too low only if the tokens were really spent or held.
         """
-        others = self.record.spent - self._get_reported_spent()
-        used = others + self.spent + self.held
+        spent_by_others = self.record.spent - self._get_reported_spent()
+        used = spent_by_others + self.spent + self.held
         return used + tokens > EXHAUSTED_SHARE * self.prepaid
 
     def plan_change(self, now: float, rank: HomeRank) -> StockChange | None:
@@ -215,7 +215,10 @@
     def make_record(
         self, change: StockChange, members: Mapping[str, str], roster: str
     ) -> AccountRecord:
-        """Return the record after a change of this incarnation's stock."""
+        """Return the record after a stock change.
+
+        From now on, only `members` get grants.
+        """
         self.replace_requesters(members.values())
         self.rosters[roster] = dict(members)
         holder = Holder(
--- a/trefoilstage/components/escrow/client.py
+++ b/trefoilstage/components/escrow/client.py
@@ -35,8 +35,8 @@
 # The home itself waits up to 1 s for a draw.
 HOLD_TIMEOUT_S = 1.1
 SETTLE_TIMEOUT_S = 1.0
-# The most settlements kept for a home that has not confirmed them. Others are dropped,
-# and their holds count as spent in full.
+# The most settlements kept for a home that has not confirmed them. Older ones are
+# dropped, and their holds count as spent in full.
 MAX_KEPT_SETTLEMENTS = 5_000
 
 
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HoldRefused:
-    """Describe why no home holds tokens, and the wait for its locked tokens."""
+    """Describe why a home refused a hold, and when it may use its locked tokens."""
 
     reason: Reason
     lock_wait_s: float = 0.0
@@ -104,7 +104,7 @@
         """Return a hold for a request, or its refusal.
 
         While the store is out of reach and the stock is used up, the request waits
-        as long as it may still get tokens that way.
+        as long as its limits allow and tokens may still become available.
         """
         if not self._is_prepaid(workspace) or tokens == 0:
             return EscrowHold(workspace=workspace, request=request, tokens=0)
@@ -132,7 +132,8 @@
             )
             if isinstance(answer, EscrowHold):
                 return answer
-            # The home knows the account best; the fallbacks may still have tokens.
+            # The fallbacks may still have tokens. If they refuse too, the home's
+            # refusal is returned, because the home knows the account best.
             first_refusal = first_refusal or answer
         return first_refusal or HoldRefused(reason=Reason.BUDGET_UNCONFIRMED)
 
@@ -254,7 +255,7 @@
         if not isinstance(reply, HoldReply):
             return UNCONFIRMED
         if reply.refused is None and reply.incarnation != peer.incarnation:
-            # A new incarnation replied. Its hold is released with it.
+            # A new incarnation of the home replied; the hold is released there.
             self._unsettled[home, reply.incarnation].append(release)
             self._membership.confirm(home)
             return UNCONFIRMED
@@ -265,8 +266,8 @@
     def _mark_failed(self, peer: PeerState) -> None:
         """Mark a peer as failed, so that another home is asked next time.
 
-        Not while this host's own link is full: no home replies in time over it, and
-        the host would take one home after the other for lost.
+        A peer is not marked while this host's own link is full: no home replies in
+        time over it, and this host would mark one home after the other as failed.
         """
         if not self._board.is_link_full(self._timer.now()):
             peer.failed = True
@@ -289,7 +290,7 @@
     ) -> None:
         peer = self._board.peers.get(home)
         if peer is None:
-            # The host returned its stock when it left, and its holds count as spent.
+            # The home has left. It returned its stock, and its holds count as spent.
             return
         link = self._links.get_link(peer.peer_url)
         message = SettleHolds(incarnation=incarnation, holds=tuple(holds))
--- a/trefoilstage/components/escrow/grants.py
+++ b/trefoilstage/components/escrow/grants.py
@@ -1,4 +1,7 @@
-"""Keep the totals of what homes have granted to this host; pure."""
+"""Keep the totals of what homes have granted to this host; pure.
+
+A grant is a hold that a home has confirmed to the host that requested it.
+"""
 
 from collections import defaultdict
 from dataclasses import dataclass, field
--- a/trefoilstage/components/escrow/home.py
+++ b/trefoilstage/components/escrow/home.py
@@ -34,22 +34,24 @@
 # request that waits for it is late, but a refused one would not be served at all.
 DRAW_WAIT_S = 1.0
 MAX_WRITE_TRIES = 8
-# After a failed draw the home makes no calls for the account: each call is charged,
-# and requests are refused immediately instead of waiting for a draw that fails.
+# After a failed draw the home makes no calls for the account for this long: each call
+# is charged, and requests are refused immediately instead of waiting for a draw that
+# fails.
 FAILED_DRAW_PAUSE_S = 0.3
 # An account without free tokens is read again at this interval, to find tokens that
 # other hosts returned.
 EXHAUSTED_REREAD_INTERVAL_S = 0.5
 
 # When all hosts of a large fleet start, each home would otherwise write a roster at
-# every stock check. A request from an unlisted host writes the roster immediately.
+# every stock check. For a request from an unlisted host, it writes one immediately.
 ROSTER_UPDATE_INTERVAL_S = 1.0
 # While a large fleet starts, each host knows only some of the others and takes itself
 # for the home of many workspaces; the draws would exceed what the store accepts. Unless
 # a request waits for it, an account is first read when the live hosts have not changed
 # for this long.
 STABLE_FLEET_S = 1.0
-# Between attempts to recover an ended home's tokens; a witness may be out of reach.
+# Attempts to recover an ended home's tokens are repeated at this interval, because a
+# witness may be out of reach.
 RECOVERY_RETRY_INTERVAL_S = 0.5
 
 GetOwnRank = Callable[[str], HomeRank]
@@ -77,17 +79,20 @@
         self._recovery = recovery
         self._lock = lock
         self._accounts: dict[str, EscrowAccount] = {}
-        self._records = AccountStore(
+        self._account_store = AccountStore(
             store=store,
             timer=timer,
             n_partitions=n_partitions,
             accounts=self._accounts,
         )
-        self._reclaimer = Reclaimer(records=self._records, recovery=recovery)
-        self._draws: dict[str, asyncio.Task[None]] = {}
+        self._reclaimer = Reclaimer(
+            account_store=self._account_store, recovery=recovery
+        )
+        # Draws and recoveries by workspace; those of one account do not overlap.
+        self._account_tasks: dict[str, asyncio.Task[None]] = {}
         self._paused_until: dict[str, float] = {}
-        self._recover_at: dict[str, float] = {}
-        self._named_at: dict[str, float] = {}  # time of the last roster
+        self._next_recovery_at: dict[str, float] = {}
+        self._roster_written_at: dict[str, float] = {}
         server.register(HoldTokens, self._handle_hold)
         server.register(SettleHolds, self._handle_settle)
 
@@ -125,7 +130,7 @@
             return self._refuse(account, request, tokens)
         if not account.can_cover(tokens) and not self._may_reread(workspace):
             return self._refuse(account, request, tokens)
-        self._recovery.add_requester(requester)
+        self._recovery.record_requester(requester)
         account.waiting += tokens
         try:
             await self._wait_for_draw(workspace)
@@ -145,9 +150,9 @@
     async def return_unused(self) -> None:
         """Return all unused tokens to the accounts, as this host shuts down."""
         for workspace, account in self._accounts.items():
-            draw = self._draws.get(workspace)
-            if draw is not None and not draw.done():
-                await draw
+            task = self._account_tasks.get(workspace)
+            if task is not None and not task.done():
+                await task
             if account.unused > 0 or account.locked > 0:
                 await self._change_stock(workspace, plan_full_return)
 
@@ -156,11 +161,11 @@
         return list(self._accounts.values())
 
     def has_locked(self) -> bool:
-        """Return whether the store may have tokens of this host as locked."""
+        """Return whether the store may record tokens of this host as locked."""
         return any(account.locked > 0 for account in self._accounts.values())
 
     def has_used_locked(self) -> bool:
-        """Return whether tokens are in use that the store may have as locked."""
+        """Return whether tokens that the store may record as locked are in use."""
         return any(account.has_used_locked for account in self._accounts.values())
 
     def get_lock_wait_s(self) -> float:
@@ -234,7 +239,7 @@
         return self._timer.now() < self._paused_until.get(workspace, 0.0)
 
     def _may_reread(self, workspace: str) -> bool:
-        return self._records.get_age_s(workspace) >= EXHAUSTED_REREAD_INTERVAL_S
+        return self._account_store.get_age_s(workspace) >= EXHAUSTED_REREAD_INTERVAL_S
 
     async def _wait_for_draw(self, workspace: str) -> None:
         draw = self._start_draw(workspace)
@@ -245,11 +250,11 @@
             return
 
     def _start_draw(self, workspace: str) -> asyncio.Task[None]:
-        draw = self._draws.get(workspace)
-        if draw is None or draw.done():
-            draw = asyncio.create_task(self._draw(workspace))
-            self._draws[workspace] = draw
-        return draw
+        task = self._account_tasks.get(workspace)
+        if task is None or task.done():
+            task = asyncio.create_task(self._draw(workspace))
+            self._account_tasks[workspace] = task
+        return task
 
     def _needs_write(self, account: EscrowAccount, now: float, rank: HomeRank) -> bool:
         if account.plan_change(now, rank) is not None:
@@ -265,19 +270,19 @@
 
     def _may_update_roster(self, workspace: str, now: float) -> bool:
         """Return whether a roster may be written without a waiting request."""
-        written_at = self._named_at.get(workspace, float("-inf"))
+        written_at = self._roster_written_at.get(workspace, float("-inf"))
         return (
             not self._board.is_large() or now - written_at >= ROSTER_UPDATE_INTERVAL_S
         )
 
     def _start_recovery(self, workspace: str, now: float) -> None:
-        draw = self._draws.get(workspace)
-        if draw is not None and not draw.done():
+        task = self._account_tasks.get(workspace)
+        if task is not None and not task.done():
             return
-        if now < self._recover_at.get(workspace, 0.0):
+        if now < self._next_recovery_at.get(workspace, 0.0):
             return
-        self._recover_at[workspace] = now + RECOVERY_RETRY_INTERVAL_S
-        self._draws[workspace] = asyncio.create_task(self._recover(workspace))
+        self._next_recovery_at[workspace] = now + RECOVERY_RETRY_INTERVAL_S
+        self._account_tasks[workspace] = asyncio.create_task(self._recover(workspace))
 
     async def _draw(self, workspace: str) -> None:
         def plan(account: EscrowAccount) -> StockChange | None:
@@ -288,13 +293,13 @@
     async def _change_stock(
         self, workspace: str, plan: Callable[[EscrowAccount], StockChange | None]
     ) -> None:
-        """Write a change of the stock, with retries on writes of other hosts."""
+        """Write a change of the stock; retry if another host has written first."""
         account = self._accounts[workspace]
-        refresh = not self._records.can_write(workspace) or account.free == 0
+        refresh = not self._account_store.can_write(workspace) or account.free == 0
         try:
             for _ in range(MAX_WRITE_TRIES):
                 if refresh:
-                    await self._records.refresh(workspace)
+                    await self._account_store.refresh(workspace)
                 change = plan(account)
                 if change is None:
                     if not self._must_update_roster(account):
@@ -302,8 +307,8 @@
                     change = StockChange(tokens=0, locked=account.locked)
                 self._close_lock(change)
                 requesters = self._recovery.list_requesters()
-                if await self._records.change(account, change, requesters):
-                    self._named_at[workspace] = self._timer.now()
+                if await self._account_store.change(account, change, requesters):
+                    self._roster_written_at[workspace] = self._timer.now()
                     log_event(
                         Event.ESCROW_DRAWN,
                         workspace=workspace,
@@ -321,7 +326,8 @@
         """Close the lock, so that locked tokens stay unused until the first promise.
 
         The lock keeper writes no promise once locked tokens are in use. A closed lock
-        is not extended: if each attempt to draw did, it would open late in an outage.
+        is not extended: if each attempt to draw extended it, it would open late in an
+        outage.
         """
         now = self._timer.now()
         is_open = self._lock.is_open(now)
@@ -331,7 +337,7 @@
     def _record_store_failure(
         self, workspace: str, error: StoreUnavailableError
     ) -> None:
-        self._records.forget_end_offset(workspace)
+        self._account_store.forget_end_offset(workspace)
         now = self._timer.now()
         self._paused_until[workspace] = now + FAILED_DRAW_PAUSE_S
         self._board.store.note_failure(now, str(error))
--- a/trefoilstage/components/escrow/lock.py
+++ b/trefoilstage/components/escrow/lock.py
@@ -19,8 +19,8 @@
 # then, and a longer one makes callers wait at the start of an outage.
 LOCK_DURATION_S = 3.2
 RENEW_INTERVAL_S = 0.8
-# A host that restarts again before its first predecessor is settled passes the proof
-# on.
+# A host may restart again before an earlier incarnation is retired from the account
+# records. It then passes on the proof about that incarnation.
 MAX_PROOFS = 4
 # If two boots have the same identifier, a restarted monotonic clock shows by its offset
 # to the time of day. A step of the time of day only invalidates the proof.
--- a/trefoilstage/components/escrow/lock_keeper.py
+++ b/trefoilstage/components/escrow/lock_keeper.py
@@ -44,9 +44,9 @@
         self._process_start = start
         self._has_locked = has_locked
         self._has_used_locked = has_used_locked
-        self._passed_on = False  # whether the proofs about predecessors are stored
+        self._are_proofs_stored = False  # those about predecessors
         self._failed_at = float("-inf")
-        self._renewing = False
+        self._is_renewing = False
 
     async def on_start(self) -> None:
         """Start to read the predecessor's promise and to renew this host's own."""
@@ -94,15 +94,15 @@
 
     async def renew(self) -> None:
         """Extend the promise if it is needed and the store responds."""
-        if self._renewing or self._board.untouched is None:
+        if self._is_renewing or self._board.untouched is None:
             return
         if not self._needs_promise() or not self._may_promise():
             return
-        self._renewing = True
+        self._is_renewing = True
         try:
             await self._write_promise()
         finally:
-            self._renewing = False
+            self._is_renewing = False
 
     def _needs_promise(self) -> bool:
         """Return whether this host has locked tokens or a proof to pass on.
@@ -110,7 +110,9 @@
         In a large fleet most hosts are not the home of any account, and their
         promises would be useless calls to the store.
         """
-        return self._has_locked() or bool(self._board.untouched and not self._passed_on)
+        return self._has_locked() or bool(
+            self._board.untouched and not self._are_proofs_stored
+        )
 
     def _may_promise(self) -> bool:
         """Return whether the store responds and no locked tokens are in use.
@@ -135,7 +137,7 @@
             await self._store.put(
                 Topic.LOCKS, self._board.host, LOCK_CODEC.encode(record)
             )
-            self._passed_on = True
+            self._are_proofs_stored = True
         except StoreUnavailableError as error:
             now = self._timer.now()
             self._failed_at = now
--- a/trefoilstage/components/escrow/ranking.py
+++ b/trefoilstage/components/escrow/ranking.py
@@ -28,17 +28,18 @@
         """Return this host's rank for a workspace, by the hosts it knows to be live."""
         if self._board.phase is not Phase.SERVING:
             return HomeRank.NONE
-        first = rank_names(workspace, self._membership.list_live())[: len(HOME_RANKS)]
-        if self._board.host not in first:
+        homes = rank_names(workspace, self._membership.list_live())[: len(HOME_RANKS)]
+        if self._board.host not in homes:
             return HomeRank.NONE
-        return HOME_RANKS[first.index(self._board.host)]
+        return HOME_RANKS[homes.index(self._board.host)]
 
     def list_homes_to_ask(self, workspace: str) -> list[str]:
         """Return the hosts to ask for a grant: the home, then its fallbacks.
 
-        A home that cannot reach the store uses up its stock and then refuses
-        immediately. The next hosts by rank may be cut off too, so the fallbacks are
-        hosts that report that they reach the store. If no host does, the next hosts
+        This host is listed only if no other is live, because it could not witness its
+        own grants. A home that cannot reach the store uses up its stock and then
+        refuses immediately. The next hosts by rank may be cut off too, so the fallbacks
+        are hosts that report that they reach the store. If no host does, the next hosts
         by rank are used.
         """
         ranked = rank_names(workspace, self._membership.list_live())
--- a/trefoilstage/components/escrow/reclaim.py
+++ b/trefoilstage/components/escrow/reclaim.py
@@ -1,4 +1,4 @@
-"""Free the tokens that ended homes had drawn and not granted."""
+"""Make the tokens that ended homes had drawn and not granted free to be drawn."""
 
 from trefoilstage.components.escrow.account import EscrowAccount
 from trefoilstage.components.escrow.account_store import AccountStore
@@ -8,10 +8,12 @@
 
 
 class Reclaimer:
-    """Remove ended homes from account records, by the reports of their witnesses."""
+    """Retire ended homes in account records, once it is known what they granted."""
 
-    def __init__(self, *, records: AccountStore, recovery: EscrowRecovery) -> None:
-        self._records = records
+    def __init__(
+        self, *, account_store: AccountStore, recovery: EscrowRecovery
+    ) -> None:
+        self._account_store = account_store
         self._recovery = recovery
 
     def has_ended_holder(self, account: EscrowAccount) -> bool:
@@ -26,17 +28,18 @@
 
         Raise StoreUnavailableError if the store does not respond.
         """
-        await self._records.refresh(account.workspace)
+        await self._account_store.refresh(account.workspace)
         for incarnation, holder in account.record.holders.items():
             if not self._recovery.has_ended(holder.host, incarnation):
                 continue
-            roster = await self._records.read_roster(holder)
+            roster = await self._account_store.read_roster(holder)
             if roster is None:
                 continue
             usage = await self._recovery.find_usage(
                 account.workspace, incarnation, holder, roster
             )
-            # Another home may have retired it, or a delayed write was stored.
+            # Another home may have retired the ended one, or a delayed write of the
+            # ended one may have been stored.
             is_unchanged = account.record.holders.get(incarnation) == holder
             if isinstance(usage, HolderUsage) and is_unchanged:
                 await self._retire(account, incarnation, holder, usage)
@@ -49,10 +52,10 @@
         holder: Holder,
         usage: HolderUsage,
     ) -> None:
-        if not self._records.can_write(account.workspace):
+        if not self._account_store.can_write(account.workspace):
             return
         record = account.record.retire(incarnation, usage)
-        if await self._records.put(account, record):
+        if await self._account_store.put(account, record):
             log_event(
                 Event.ESCROW_RECOVERED,
                 workspace=account.workspace,
--- a/trefoilstage/components/escrow/record.py
+++ b/trefoilstage/components/escrow/record.py
@@ -20,9 +20,9 @@
     spent: Tokens
     # The part of `drawn` that is not used while the host's lock is closed.
     locked: Tokens = 0
-    # The name of the list of incarnations that may have got grants, its witnesses.
+    # The name of the roster: the incarnations that may have got grants, its witnesses.
     roster: Name = ""
-    # What incarnations used that are no longer on the roster.
+    # What was used by incarnations that are no longer on the roster.
     used_by_former: Tokens = 0
 
 
--- a/trefoilstage/components/escrow/recovery.py
+++ b/trefoilstage/components/escrow/recovery.py
@@ -45,16 +45,17 @@
         self._grants = grants
         self._ask_seal = ask_seal
         self._confirm = confirm
-        self._grants_to_self = False
-        self._first_seen: dict[str, float] = {}  # by incarnation in a record
+        self._has_own_requests = False
+        self._first_seen: dict[str, float] = {}  # in a record, by incarnation
 
-    def add_requester(self, requester: str) -> None:
-        """List this host as a requester if the request is its own.
+    def record_requester(self, requester: str) -> None:
+        """Record a request; this host is a requester only once it has made one here.
 
-        Grants to this host have no other witness.
+        Grants to this host have no other witness. If it ends while it is on the roster,
+        all that it drew counts as used, except tokens proven to be unused.
         """
         if requester == self._board.incarnation:
-            self._grants_to_self = True
+            self._has_own_requests = True
 
     def list_requesters(self) -> dict[str, str]:
         """Return the incarnations that may get grants, by host."""
@@ -64,7 +65,7 @@
             for peer in self._board.peers.values()
             if peer.last_heard >= min_heard_at
         }
-        if self._grants_to_self:
+        if self._has_own_requests:
             requesters[self._board.host] = self._board.incarnation
         return requesters
 
--- a/trefoilstage/components/escrow/rosters.py
+++ b/trefoilstage/components/escrow/rosters.py
@@ -1,8 +1,9 @@
 """Store rosters, the lists of incarnations that may get grants, by their digest.
 
-A roster grows with the fleet. In each account's record, where it would be read with all
-records of a partition at each conflict, it would make draws slow. With all rosters in
-one partition, a host that recovers an account would read all rosters ever written.
+A roster grows with the fleet. If account records contained their rosters, each conflict
+of two writers would read those of a whole partition again, and draws would be slow. If
+all rosters were in one partition, a host that recovers an account would read all
+rosters ever written.
 """
 
 from collections import OrderedDict
--- a/trefoilstage/components/escrow/stock.py
+++ b/trefoilstage/components/escrow/stock.py
@@ -43,7 +43,7 @@
 # the machines lose power.
 LOCKED_SHARE = 0.6
 # Nothing is locked when less than this share of a budget is left: when tokens were
-# locked down to a fifth, a loss of power lost 9.1% of an ample budget, not 4.5%.
+# locked down to a fifth, a loss of power lost 9.1% of an ample budget instead of 4.5%.
 MIN_LEFT_SHARE_TO_LOCK = 0.4
 # The home draws again when its ready stock is below this share of the target.
 READY_LOW_WATERMARK_SHARE = 0.6
