--- a/bench/emulator/host.py
+++ b/bench/emulator/host.py
@@ -118,7 +118,7 @@
             probe=self._probe,
             process_start=ProcessStart(
                 boot=f"boot-{self._boot}",
-                at=asyncio.get_running_loop().time(),
+                monotonic_s=asyncio.get_running_loop().time(),
                 offset=0.0,
             ),
         )
--- a/bench/emulator/network.py
+++ b/bench/emulator/network.py
@@ -11,7 +11,7 @@
 from trefoilstage.components.peers.links import PeerLinks
 from trefoilstage.components.peers.server import PeerServer
 from trefoilstage.components.views.store import (
-    Listing,
+    RecordBatch,
     StoreUnavailableError,
     Topic,
 )
@@ -63,14 +63,14 @@
         if self.killed:
             raise StoreUnavailableError("killed")
 
-    async def list_newest(self, topic: Topic, partition: int = 0) -> Listing:
+    async def list_newest(self, topic: Topic, partition: int = 0) -> RecordBatch:
         """Return the newest record of each key."""
         await self._travel()
         return await self._shared.store.list_newest(topic, partition)
 
     async def read(
         self, topic: Topic, offset: int, wait_s: float, partition: int = 0
-    ) -> Listing:
+    ) -> RecordBatch:
         """Return the records from an offset on; wait for one if there is none."""
         await self._travel()
         found = await self._shared.store.read(topic, offset, wait_s, partition)
--- a/standins/keyed_store.py
+++ b/standins/keyed_store.py
@@ -6,8 +6,8 @@
 
 from trefoilstage.components.views.keyed_view import KeyedRecord
 from trefoilstage.components.views.store import (
-    Listing,
     OffsetExpiredError,
+    RecordBatch,
     StoreRefusedError,
     StoreUnavailableError,
     Topic,
@@ -57,21 +57,21 @@
         default_factory=lambda: defaultdict(Partition)
     )
 
-    async def list_newest(self, topic: Topic, partition: int = 0) -> Listing:
+    async def list_newest(self, topic: Topic, partition: int = 0) -> RecordBatch:
         """Return the newest record of each key."""
         self._fail()
         found = self.partitions[topic, partition]
-        return Listing(records=found.list_newest(), end_offset=found.end_offset)
+        return RecordBatch(records=found.list_newest(), end_offset=found.end_offset)
 
     async def read(
         self, topic: Topic, offset: int, wait_s: float, partition: int = 0
-    ) -> Listing:
+    ) -> RecordBatch:
         """Return the records from an offset on."""
         self._fail()
         found = self.partitions[topic, partition]
         if offset < found.first_kept:
             raise OffsetExpiredError(str(offset))
-        return Listing(records=found.records[offset:], end_offset=found.end_offset)
+        return RecordBatch(records=found.records[offset:], end_offset=found.end_offset)
 
     async def put(
         self,
--- a/tests/common.py
+++ b/tests/common.py
@@ -19,7 +19,7 @@
     compress_state,
     dump_state,
 )
-from trefoilstage.util.hashing import hash_request_key, rank_by_rendezvous
+from trefoilstage.util.hashing import hash_idempotency_key, rank_by_rendezvous
 
 ROOT = Path(__file__).parent.parent
 SECRET = "brest-school-key"
@@ -312,7 +312,7 @@
     async def get_intent(self, host: Running, key: str) -> dict[str, Any] | None:
         """Return what a host has folded of a booking's key."""
         state = await self.launcher.get_json(f"{host.operator_url}/state")
-        digest = hash_request_key("brest-school", key)
+        digest = hash_idempotency_key("brest-school", key)
         for ledger in state["blackboard"]["ledgers"].values():
             if digest in ledger["intents"]:
                 return dict(ledger["intents"][digest])
@@ -323,7 +323,7 @@
         names = [host.name for host in self.hosts]
         for number in itertools.count():
             key = f"briefing-{number}"
-            digest = hash_request_key("brest-school", key)
+            digest = hash_idempotency_key("brest-school", key)
             if rank_by_rendezvous(digest, names)[0] == home.name:
                 return key
         raise AssertionError("no key")
--- a/tests/components/escrow/common.py
+++ b/tests/components/escrow/common.py
@@ -117,7 +117,7 @@
             store=self.store,
             timer=self.timer,
             lock=lock,
-            start=ProcessStart(boot=self.boot, at=self.timer.time, offset=0.0),
+            start=ProcessStart(boot=self.boot, monotonic_s=self.timer.time, offset=0.0),
             has_locked=home.has_locked,
             has_used_locked=home.has_used_locked,
         )
--- a/tests/components/escrow/test_lock.py
+++ b/tests/components/escrow/test_lock.py
@@ -24,7 +24,7 @@
         self, *, boot: str = "boot-1", at: float = 99.0, offset: float = 5.0
     ) -> tuple[str, ...]:
         """Return the proven predecessors of a process with the given start."""
-        start = ProcessStart(boot=boot, at=at, offset=offset)
+        start = ProcessStart(boot=boot, monotonic_s=at, offset=offset)
         return list_proven_untouched(RECORD, start)
 
     def test_start_before_the_promised_time_is_a_proof(self) -> None:
@@ -44,7 +44,7 @@
         self.assertEqual(self.list_untouched(at=50.0, offset=56.0), ())
 
     def test_no_promise_proves_nothing(self) -> None:
-        start = ProcessStart(boot="boot-1", at=1.0, offset=0.0)
+        start = ProcessStart(boot="boot-1", monotonic_s=1.0, offset=0.0)
         self.assertEqual(list_proven_untouched(None, start), ())
 
     def test_promise_applies_before_the_store_confirms_it(self) -> None:
@@ -61,8 +61,8 @@
 
     async def list_promising_hosts(self, cluster: EscrowCluster) -> set[str]:
         """Return the hosts with a promise in the store."""
-        listing = await cluster.store.list_newest(Topic.LOCKS)
-        return {record.key for record in listing.records}
+        batch = await cluster.store.list_newest(Topic.LOCKS)
+        return {record.key for record in batch.records}
 
     async def test_host_without_locked_tokens_writes_no_promise(self) -> None:
         """Run the lock keepers of three hosts, of which one is the home of an account.
--- a/tests/components/escrow/test_rosters.py
+++ b/tests/components/escrow/test_rosters.py
@@ -11,7 +11,7 @@
     RosterStore,
     get_roster_name,
 )
-from trefoilstage.components.views.store import Listing, Topic
+from trefoilstage.components.views.store import RecordBatch, Topic
 
 N_HOSTS = 195
 N_PARTITIONS = 24
@@ -32,11 +32,11 @@
 
     n_bytes = 0
 
-    async def list_newest(self, topic: Topic, partition: int = 0) -> Listing:
+    async def list_newest(self, topic: Topic, partition: int = 0) -> RecordBatch:
         """Return the newest record of each key."""
-        listing = await super().list_newest(topic, partition)
-        self.n_bytes += sum(len(record.value or b"") for record in listing.records)
-        return listing
+        batch = await super().list_newest(topic, partition)
+        self.n_bytes += sum(len(record.value or b"") for record in batch.records)
+        return batch
 
 
 class RosterStoreTest(unittest.IsolatedAsyncioTestCase):
@@ -113,8 +113,8 @@
     async def test_starting_hosts_are_listed_together(self) -> None:
         """Start 30 hosts in 3 s; the home writes its roster once a second."""
         cluster = await self.start_hosts()
-        listing = await cluster.store.list_newest(Topic.ROSTERS)
-        self.assertLessEqual(len(listing.records), 1 + 3 * MAX_ROSTERS_PER_S)
+        batch = await cluster.store.list_newest(Topic.ROSTERS)
+        self.assertLessEqual(len(batch.records), 1 + 3 * MAX_ROSTERS_PER_S)
 
     async def test_requesting_host_is_listed_immediately(self) -> None:
         cluster = await self.start_hosts()
--- a/tests/components/log_fault_play.py
+++ b/tests/components/log_fault_play.py
@@ -12,7 +12,7 @@
 from bench.emulator.clock import run_virtually
 from tests.components.faulty_log import Faults
 from tests.components.log_faults import SETTLE_S, Cluster, Host
-from trefoilstage.components.operators.server import VERDICT_WAIT_S
+from trefoilstage.components.operators.server import VERDICT_TIMEOUT_S
 from trefoilstage.helpers.verdict import ACCEPTED, Verdict
 
 FAULT_PHASE_S = 20.0
@@ -114,7 +114,7 @@
     async def _check(self) -> list[str]:
         cluster, failures = self.cluster, []
         last = cluster.submit(cluster.names[0], FINAL_CHANGE)
-        done, _ = await asyncio.wait([last], timeout=VERDICT_WAIT_S)
+        done, _ = await asyncio.wait([last], timeout=VERDICT_TIMEOUT_S)
         if not done or last.result() != ACCEPTED:
             failures.append("no verdict within an operator's wait")
         live_changes = [item for item in self.changes if not item.host.is_dead]
--- a/tests/components/test_log_faults.py
+++ b/tests/components/test_log_faults.py
@@ -7,7 +7,7 @@
 from tests.components.log_fault_play import run_seed
 from tests.components.log_faults import POLL_S, SETTLE_S, SUSPECT_S, Cluster
 from tests.components.test_stream import wait_until
-from trefoilstage.components.operators.server import VERDICT_WAIT_S
+from trefoilstage.components.operators.server import VERDICT_TIMEOUT_S
 from trefoilstage.components.peers.log_peers import PEER_TIMEOUT_S
 from trefoilstage.helpers.verdict import ACCEPTED
 
@@ -41,7 +41,7 @@
                 cluster.submit("a", 1)
                 await asyncio.sleep(1.0)
                 cluster.heal()
-                async with asyncio.timeout(VERDICT_WAIT_S):
+                async with asyncio.timeout(VERDICT_TIMEOUT_S):
                     self.assertEqual(await cluster.submit("b", 2), ACCEPTED)
                 await cluster.settle()
 
@@ -119,7 +119,7 @@
                 cluster.submit("c", 2)
                 await asyncio.sleep(STEP_S)
                 cluster.heal()
-                async with asyncio.timeout(VERDICT_WAIT_S):
+                async with asyncio.timeout(VERDICT_TIMEOUT_S):
                     self.assertEqual(await cluster.submit("a", 3), ACCEPTED)
                     self.assertEqual(await lost, ACCEPTED)
 
@@ -133,7 +133,7 @@
                 await cluster.settle()
                 cluster.hosts["a"].faults.late_appends_s = LATE_RESPONSE_S / 2
                 first = cluster.submit("a", 1)
-                async with asyncio.timeout(VERDICT_WAIT_S):
+                async with asyncio.timeout(VERDICT_TIMEOUT_S):
                     self.assertEqual(await first, ACCEPTED)
                     self.assertEqual(await cluster.submit("a", 2), ACCEPTED)
 
--- a/tests/components/test_stalled_connects.py
+++ b/tests/components/test_stalled_connects.py
@@ -28,8 +28,8 @@
     TargetRefusedError,
 )
 from trefoilstage.components.targets.models import GenerationRequest
-from trefoilstage.helpers.sends import open_session
-from trefoilstage.util.stalls import STALLED_S
+from trefoilstage.helpers.send_trace import open_session
+from trefoilstage.util.stalls import MIN_STALL_S
 
 
 async def refuse_as_busy(request: web.Request) -> web.Response:
@@ -46,7 +46,7 @@
     async def connect_suspended(*arguments: Any) -> None:
         if not suspended:
             suspended.append(True)
-            loop.call_soon(time.sleep, timeout_s + 2 * STALLED_S)
+            loop.call_soon(time.sleep, timeout_s + 2 * MIN_STALL_S)
         await connect(*arguments)
 
     return mock.patch.object(loop, "sock_connect", connect_suspended)
--- a/tests/helpers/test_lines.py
+++ b/tests/helpers/test_log_line_writer.py
@@ -3,7 +3,11 @@
 import os
 import unittest
 
-from trefoilstage.helpers.lines import MAX_BUFFER_BYTES, LineRateLimiter, LineWriter
+from trefoilstage.helpers.log_line_writer import (
+    MAX_BUFFER_BYTES,
+    LineRateLimiter,
+    LineWriter,
+)
 
 
 class ManualClock:
--- a/tests/helpers/test_stories.py
+++ b/tests/helpers/test_request_history.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from trefoilstage.helpers.exposition import MetricsPage
-from trefoilstage.helpers.stories import find_story, read_line
+from trefoilstage.helpers.metrics_page import MetricsPage
+from trefoilstage.helpers.request_history import find_request_history, parse_log_line
 
 LINES = """
 timestamp=1.0 message_type=config_in_force version=3
@@ -23,20 +23,22 @@
 
     def test_history_includes_the_state_at_arrival(self) -> None:
         lines = [
-            line for text in LINES.splitlines() if (line := read_line(text, "host-1"))
+            line
+            for text in LINES.splitlines()
+            if (line := parse_log_line(text, "host-1"))
         ]
         home_line = (
             "timestamp=4.2 message_type=hold_refused request=a1/host-1/0/0 free=0"
         )
-        home_host_line = read_line(home_line, "host-2")
+        home_host_line = parse_log_line(home_line, "host-2")
         assert home_host_line is not None
-        history = find_story([*lines, home_host_line], "a1")
+        history = find_request_history([*lines, home_host_line], "a1")
         event_names = [line.event_name for line in history.lines]
         self.assertEqual(
             event_names, ["request_sent", "hold_refused", "request_refused"]
         )
         self.assertEqual(history.lines[2].fields["detail"], "reset by peer")
-        host_states = [line.describe() for line in history.beliefs]
+        host_states = [line.describe() for line in history.host_states]
         self.assertEqual(
             host_states,
             [
@@ -44,10 +46,10 @@
                 "3.000 host-1 target_ejected target=i-1",
             ],
         )
-        self.assertEqual(len(history.account), 1)
+        self.assertEqual(len(history.account_changes), 1)
 
     def test_unknown_request_has_no_history(self) -> None:
-        self.assertEqual(find_story([], "a1").lines, ())
+        self.assertEqual(find_request_history([], "a1").lines, ())
 
 
 class MetricsPageTest(unittest.TestCase):
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -162,10 +162,10 @@
     def test_records_are_encoded_and_decoded(self) -> None:
         """Encode and decode records, among them one that deletes its key."""
         body = encode_record("a", b"x") + encode_record("b", None)
-        listing = decode_records(struct.pack(">QQ", 9, 0) + body, 5)
-        found = [(item.key, item.offset, item.value) for item in listing.records]
+        batch = decode_records(struct.pack(">QQ", 9, 0) + body, 5)
+        found = [(item.key, item.offset, item.value) for item in batch.records]
         self.assertEqual(found, [("a", 5, b"x"), ("b", 6, None)])
-        self.assertEqual(listing.end_offset, 7)
+        self.assertEqual(batch.end_offset, 7)
 
     def test_malformed_records_do_not_block_later_ones(self) -> None:
         """Decode empty and truncated records, and a key that is not valid UTF-8.
@@ -177,10 +177,10 @@
         truncated_key = struct.pack(">I", 2) + b"\x09a"
         invalid_utf8 = struct.pack(">I", 4) + b"\x02\xff\xfex"
         body = empty + truncated_key + invalid_utf8 + encode_record("i-1", b"v")
-        listing = decode_records(struct.pack(">QQ", 9, 0) + body, 5)
-        self.assertEqual(listing.end_offset, 9)
-        self.assertEqual(listing.records[-1].key, "i-1")
-        self.assertEqual([item.offset for item in listing.records], [5, 6, 7, 8])
+        batch = decode_records(struct.pack(">QQ", 9, 0) + body, 5)
+        self.assertEqual(batch.end_offset, 9)
+        self.assertEqual(batch.records[-1].key, "i-1")
+        self.assertEqual([item.offset for item in batch.records], [5, 6, 7, 8])
 
     def test_malformed_listed_records_do_not_affect_others(self) -> None:
         """Decode a page with items of wrong types and a value that is not base64."""
--- a/tests/promises/fleet.py
+++ b/tests/promises/fleet.py
@@ -27,7 +27,7 @@
 from standins.proxy import FaultProxy
 from tests.kept_lines import keep_lines
 from trefoilstage.components.views.store import Topic
-from trefoilstage.util.stalls import StallWatch
+from trefoilstage.util.stalls import StallDetector
 
 # Budgets of this size are not what a test is about.
 WARM_PREPAID = 1_000_000
@@ -109,9 +109,9 @@
 
     async def _watch_stalls(self) -> None:
         """Note when this process, with the callers and targets, stood still."""
-        watch = StallWatch(interval_s=STALL_CHECK_S)
+        watch = StallDetector(interval_s=STALL_CHECK_S)
         while True:
-            stall = watch.note_tick(time.monotonic(), time.process_time())
+            stall = watch.record_tick(time.monotonic(), time.process_time())
             if stall is not None:
                 self.calls.append(f"{time.time():.6f} {stall}")
             await asyncio.sleep(STALL_CHECK_S)
--- a/tests/promises/test_refusal.py
+++ b/tests/promises/test_refusal.py
@@ -12,7 +12,7 @@
 from standins.launcher import Running, wait_for
 from tests.answers import CallerAnswer
 from tests.common import OTHER_SECRET, SECRET, Fleet
-from trefoilstage.util.hashing import hash_request_key
+from trefoilstage.util.hashing import hash_idempotency_key
 
 CHAT = "/v1/chat/completions"
 BOOKING = "/services/booking/confirm"
@@ -263,7 +263,7 @@
             executed = [run["request"] for run in await fleet.list_executed()]
             self.assertNotIn(request or "-", executed)
             effects = [effect["key"] for effect in await fleet.list_effects()]
-            digest = hash_request_key("brest-school", key)
+            digest = hash_idempotency_key("brest-school", key)
             if books:
                 self.assertNotIn(digest, effects)
         return True
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -5,7 +5,7 @@
 
 from standins.launcher import wait_for
 from tests.common import OTHER_SECRET, SECRET, Fleet
-from trefoilstage.util.hashing import pick_stream
+from trefoilstage.util.hashing import hash_to_bucket
 
 N_STREAMS = 3
 FLEET_CONFIG = f"[fleet]\nledger_streams = {N_STREAMS}\n"
@@ -16,7 +16,7 @@
 
     async def test_budgets_and_bookings_on_three_streams(self) -> None:
         accounts = ["budget:brest", "budget:quimper", "workspace:brest-school"]
-        used_streams = {pick_stream(account, N_STREAMS) for account in accounts}
+        used_streams = {hash_to_bucket(account, N_STREAMS) for account in accounts}
         self.assertGreater(len(used_streams), 1, "all accounts are on the same stream")
         settings = {"checkpoint_every": 20}
         async with Fleet(more_config=FLEET_CONFIG, host_settings=settings) as fleet:
--- a/tests/util/test_startup.py
+++ b/tests/util/test_startup.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from unittest import mock
 
-from trefoilstage.util.startup import prepare_imports, start_collector
+from trefoilstage.util.startup import enable_garbage_collector, prepare_imports
 
 ROOT = Path(__file__).parent.parent.parent
 # The test fleets start processes from both; a host imports most of the first.
@@ -46,7 +46,7 @@
         with mock.patch.dict(os.environ):
             prepare_imports()
             self.assertFalse(gc.isenabled())
-        start_collector()
+        enable_garbage_collector()
         self.assertTrue(gc.isenabled())
         self.assertGreater(gc.get_freeze_count(), 0)
 
--- a/trefoilstage/assembly.py
+++ b/trefoilstage/assembly.py
@@ -28,8 +28,8 @@
 from trefoilstage.components.targets.client import TargetClient
 from trefoilstage.components.targets.setup import TargetParts, make_target_parts
 from trefoilstage.helpers.dump import StateRegistry
-from trefoilstage.helpers.metrics import Metrics
-from trefoilstage.helpers.sends import open_session
+from trefoilstage.helpers.metrics import StatsdMetrics
+from trefoilstage.helpers.send_trace import open_session
 from trefoilstage.settings import HostSettings
 from trefoilstage.timer import TimerService
 
@@ -217,9 +217,9 @@
     return open_session(connector)
 
 
-def make_metrics(settings: HostSettings) -> Metrics:
+def make_metrics(settings: HostSettings) -> StatsdMetrics:
     """Return the metrics client."""
-    return Metrics(
+    return StatsdMetrics(
         address=settings.statsd_address,
         port=settings.statsd_port,
         host=settings.host,
--- a/trefoilstage/cli/common.py
+++ b/trefoilstage/cli/common.py
@@ -10,7 +10,7 @@
 from trefoilstage.cli.client import OperatorClient
 from trefoilstage.cli.output import ExitCode, print_error
 from trefoilstage.components.operators.models import VerdictAnswer
-from trefoilstage.util.hashing import hash_request_key
+from trefoilstage.util.hashing import hash_idempotency_key
 
 HOST_VARIABLE = "TREFOILSTAGE_HOST"
 OPERATION_DIGEST_LENGTH = 16
@@ -72,7 +72,9 @@
 
 def derive_file_operation(operation: str, name: str) -> str:
     """Return the operation id of one file within a change of several files."""
-    return f"{operation}/{hash_request_key(operation, name)[:OPERATION_DIGEST_LENGTH]}"
+    return (
+        f"{operation}/{hash_idempotency_key(operation, name)[:OPERATION_DIGEST_LENGTH]}"
+    )
 
 
 def get_author() -> str:
--- a/trefoilstage/cli/log.py
+++ b/trefoilstage/cli/log.py
@@ -19,7 +19,11 @@
 from trefoilstage.exceptions import MalformedMessageError, RecordsExpiredError
 from trefoilstage.helpers.dump import dump_value
 from trefoilstage.helpers.events import format_value
-from trefoilstage.helpers.stories import LogLine, find_story, read_line
+from trefoilstage.helpers.request_history import (
+    LogLine,
+    find_request_history,
+    parse_log_line,
+)
 from trefoilstage.ledger.records import LEDGER_CODEC, LedgerEnvelope
 
 LOG_VARIABLE = "TREFOILSTAGE_LOG"
@@ -98,13 +102,13 @@
 
     def __call__(self) -> None:
         """Print the log lines about the request, its hosts and its workspace."""
-        story = find_story(self._read_lines(), self.request)
-        if not story.lines:
+        history = find_request_history(self._read_lines(), self.request)
+        if not history.lines:
             fail(ExitCode.REJECTED, f"no log line contains the request {self.request}")
         for title, lines in (
-            ("state of its hosts when it arrived", story.beliefs),
-            ("draws of its workspace's account", story.account),
-            ("the request", story.lines),
+            ("state of its hosts when it arrived", history.host_states),
+            ("draws of its workspace's account", history.account_changes),
+            ("the request", history.lines),
         ):
             print(f"{title}:")
             for line in lines:
@@ -124,7 +128,7 @@
 def parse_log_lines(stream: Iterable[str], source: str) -> Iterator[LogLine]:
     """Yield the log lines of hosts in a stream, ignoring other text."""
     for text in stream:
-        line = read_line(text, source)
+        line = parse_log_line(text, source)
         if line is not None:
             yield line
 
--- a/trefoilstage/components/booking/client.py
+++ b/trefoilstage/components/booking/client.py
@@ -9,7 +9,7 @@
     HEADER_REQUEST_ID,
     HEADER_WORKSPACE,
 )
-from trefoilstage.helpers.sends import Attempt, RepeatedSendError
+from trefoilstage.helpers.send_trace import RepeatedSendError, SendAttempt
 from trefoilstage.helpers.verdict import Effect, Reason, Refusal
 
 CONNECT_TIMEOUT_S = 1.0
@@ -40,7 +40,7 @@
     ) -> ServiceResponse | Refusal:
         """Return the response, or a refusal that says whether the call may have run."""
         session = self._at_most_once_session if at_most_once else self._session
-        attempt = Attempt(once=at_most_once)
+        attempt = SendAttempt(at_most_once=at_most_once)
         headers = {
             HEADER_REQUEST_ID: caller.request,
             HEADER_WORKSPACE: caller.workspace,
@@ -70,7 +70,7 @@
         )
 
 
-def refuse_incomplete_call(attempt: Attempt) -> Refusal:
+def refuse_incomplete_call(attempt: SendAttempt) -> Refusal:
     """Return the refusal for a call without a complete response."""
     if attempt.n_sent == 0:
         return Refusal(reason=Reason.NO_TARGET, retry_after_s=RETRY_AFTER_SERVICE_S)
--- a/trefoilstage/components/budget/messages.py
+++ b/trefoilstage/components/budget/messages.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Literal
 
-from trefoilstage.helpers.fields import Name, Tokens
+from trefoilstage.helpers.field_types import Name, Tokens
 from trefoilstage.ledger.records import BilledRequest, OpenRequest
 
 
--- a/trefoilstage/components/callers/authentication.py
+++ b/trefoilstage/components/callers/authentication.py
@@ -12,7 +12,7 @@
     HEADER_PRIORITY,
 )
 from trefoilstage.helpers.verdict import Reason, Refusal
-from trefoilstage.util.hashing import hash_request_key, hash_secret
+from trefoilstage.util.hashing import hash_idempotency_key, hash_secret
 
 BEARER_PREFIX = "Bearer "
 MAX_KEY_LENGTH = 200
@@ -55,7 +55,7 @@
             priority=min(priority, workspace.priority, MAX_PRIORITY),
             request=request_id,
             has_key=bool(key),
-            key=hash_request_key(name, key or request_id),
+            key=hash_idempotency_key(name, key or request_id),
             deadline_s=deadline_s,
         )
 
--- a/trefoilstage/components/callers/errors.py
+++ b/trefoilstage/components/callers/errors.py
@@ -7,7 +7,7 @@
 
 from trefoilstage.components.callers.refusals import make_refusal_response
 from trefoilstage.helpers.events import Event, describe_error, log_event
-from trefoilstage.helpers.http import REASON_BY_STATUS, get_pattern
+from trefoilstage.helpers.http import REASON_BY_STATUS, get_route_pattern
 from trefoilstage.helpers.verdict import Effect, Reason, Refusal
 
 STREAMING_KEY = "streaming"
@@ -28,7 +28,7 @@
     except Exception as error:
         log_event(
             Event.REQUEST_FAILED,
-            path=get_pattern(request),
+            path=get_route_pattern(request),
             error=describe_error(error),
         )
         if request.get(STREAMING_KEY) and request.transport is not None:
--- a/trefoilstage/components/crashes/messages.py
+++ b/trefoilstage/components/crashes/messages.py
@@ -7,7 +7,7 @@
 
 from trefoilstage.components.crashes.evidence import MAX_CRASHES
 from trefoilstage.components.crashes.models import Crash
-from trefoilstage.helpers.fields import Name
+from trefoilstage.helpers.field_types import Name
 
 Crashes = Annotated[tuple[Crash, ...], Field(max_length=MAX_CRASHES)]
 Fingerprints = Annotated[tuple[Name, ...], Field(max_length=MAX_CRASHES)]
--- a/trefoilstage/components/crashes/models.py
+++ b/trefoilstage/components/crashes/models.py
@@ -6,7 +6,7 @@
 
 from trefoilstage.components.views.keyed_view import KeyedRecord
 from trefoilstage.exceptions import MalformedMessageError
-from trefoilstage.helpers.fields import Name
+from trefoilstage.helpers.field_types import Name
 
 SEPARATOR = "/"
 # Keeps a record's key within the 255 bytes that the store accepts.
--- a/trefoilstage/components/crashes/probe.py
+++ b/trefoilstage/components/crashes/probe.py
@@ -4,7 +4,7 @@
 from enum import StrEnum
 from typing import Protocol
 
-from trefoilstage.util.stalls import stood_still
+from trefoilstage.util.stalls import was_process_stalled
 
 # A target in the same region accepts within 2 ms.
 CONNECT_TIMEOUT_S = 0.4
@@ -37,7 +37,9 @@
         while True:
             times_out_at = loop.time() + CONNECT_TIMEOUT_S
             result = await self._connect(address)
-            if result is ProbeResult.SILENT and stood_still(times_out_at, loop.time()):
+            if result is ProbeResult.SILENT and was_process_stalled(
+                times_out_at, loop.time()
+            ):
                 continue
             return result
 
--- a/trefoilstage/components/crashes/recorder.py
+++ b/trefoilstage/components/crashes/recorder.py
@@ -17,8 +17,8 @@
 from trefoilstage.components.views.store import Store, StoreUnavailableError, Topic
 from trefoilstage.exceptions import PeerUnavailableError
 from trefoilstage.fleet_board import FleetBoard, PeerState
-from trefoilstage.helpers.events import Event, log_event, shorten
-from trefoilstage.util.hashing import rank_names
+from trefoilstage.helpers.events import Event, log_event, truncate_text
+from trefoilstage.util.hashing import rank_by_rendezvous_cached
 
 REPORT_TIMEOUT_S = 0.5
 RETRY_INTERVAL_S = 0.5
@@ -124,7 +124,7 @@
             for host in self._list_live_hosts()
             if host in self._board.peers and self._board.reaches_store(host)
         )
-        ranked = rank_names(self._board.host, reaching)
+        ranked = rank_by_rendezvous_cached(self._board.host, reaching)
         return self._board.peers[ranked[0]] if ranked else None
 
     def _report_to_peers(self, report: CrashReport) -> None:
@@ -142,5 +142,7 @@
             await link.tell(report, timeout_s=REPORT_TIMEOUT_S)
         except PeerUnavailableError as error:
             log_event(
-                Event.CRASH_REPORT_UNSENT, peer=peer.host, error=shorten(str(error))
+                Event.CRASH_REPORT_UNSENT,
+                peer=peer.host,
+                error=truncate_text(str(error)),
             )
--- a/trefoilstage/components/crashes/watcher.py
+++ b/trefoilstage/components/crashes/watcher.py
@@ -21,10 +21,10 @@
 from trefoilstage.components.views.keyed_view import KeyedRecord
 from trefoilstage.components.views.store import Topic
 from trefoilstage.exceptions import MalformedMessageError
-from trefoilstage.helpers.events import Event, log_event, shorten
+from trefoilstage.helpers.events import Event, log_event, truncate_text
 from trefoilstage.helpers.verdict import Reason, Refusal
 from trefoilstage.timer import TimerService
-from trefoilstage.util.hashing import rank_names
+from trefoilstage.util.hashing import rank_by_rendezvous_cached
 
 # A request that crashes targets does so within a few engine steps of its start, which
 # take less time than this even on a slow engine.
@@ -131,7 +131,7 @@
                     Event.RECORD_MALFORMED,
                     topic=Topic.CRASHES,
                     offset=record.offset,
-                    error=shorten(str(error)),
+                    error=truncate_text(str(error)),
                 )
                 continue
             if record.value is None:
@@ -195,7 +195,7 @@
         assigned = [
             crash
             for crash in expired
-            if rank_names(crash.fingerprint, live)[:1] == (self._host,)
+            if rank_by_rendezvous_cached(crash.fingerprint, live)[:1] == (self._host,)
         ]
         self._recorder.delete(assigned)
 
--- a/trefoilstage/components/escrow/account_store.py
+++ b/trefoilstage/components/escrow/account_store.py
@@ -19,7 +19,7 @@
 from trefoilstage.exceptions import MalformedMessageError
 from trefoilstage.helpers.events import Event, log_event
 from trefoilstage.timer import TimerService
-from trefoilstage.util.hashing import pick_stream
+from trefoilstage.util.hashing import hash_to_bucket
 
 
 class AccountStore:
@@ -76,8 +76,8 @@
         Raise StoreUnavailableError if a record cannot be decoded.
         """
         partition = self._get_partition(workspace)
-        listing = await self._store.list_newest(Topic.ACCOUNTS, partition)
-        for record in listing.records:
+        batch = await self._store.list_newest(Topic.ACCOUNTS, partition)
+        for record in batch.records:
             account = self._accounts.get(record.key)
             if account is None or record.value is None:
                 continue
@@ -89,9 +89,9 @@
                     Event.RECORD_MALFORMED, topic=Topic.ACCOUNTS, error=str(error)
                 )
                 raise StoreUnavailableError("malformed account record") from error
-        self._end_offsets[partition] = listing.end_offset
+        self._end_offsets[partition] = batch.end_offset
         self._read_at[workspace] = self._timer.now()
-        self._accounts[workspace].resolve_pending(listing.end_offset)
+        self._accounts[workspace].resolve_pending(batch.end_offset)
 
     async def change(
         self, account: EscrowAccount, change: StockChange, members: Mapping[str, str]
@@ -130,4 +130,4 @@
         return True
 
     def _get_partition(self, workspace: str) -> int:
-        return pick_stream(workspace, self._n_partitions)
+        return hash_to_bucket(workspace, self._n_partitions)
--- a/trefoilstage/components/escrow/lock.py
+++ b/trefoilstage/components/escrow/lock.py
@@ -11,7 +11,7 @@
 
 from trefoilstage.const import MAX_RECORD_BYTES
 from trefoilstage.helpers.codec import Codec
-from trefoilstage.helpers.fields import Name
+from trefoilstage.helpers.field_types import Name
 from trefoilstage.util.process_start import ProcessStart
 
 # Processes that were killed together started again after 0.9 to 1.3 s and read their
@@ -38,7 +38,9 @@
     untouched: tuple[Name, ...] = ()
 
 
-LOCK_CODEC: Codec[LockRecord] = Codec(family=LockRecord, max_bytes=MAX_RECORD_BYTES)
+LOCK_CODEC: Codec[LockRecord] = Codec(
+    message_type=LockRecord, max_bytes=MAX_RECORD_BYTES
+)
 
 
 @dataclass(kw_only=True, slots=True)
@@ -73,7 +75,7 @@
     if record is None:
         return ()
     proven = record.untouched
-    if is_clock_unbroken(record, start) and start.at < record.until:
+    if is_clock_unbroken(record, start) and start.monotonic_s < record.until:
         proven = (*proven, record.incarnation)
     return proven[-MAX_PROOFS:]
 
--- a/trefoilstage/components/escrow/lock_keeper.py
+++ b/trefoilstage/components/escrow/lock_keeper.py
@@ -74,14 +74,14 @@
                 Event.LOCK_READ,
                 predecessor=record.incarnation if record else "",
                 until=record.until if record else 0.0,
-                started=self._process_start.at,
+                started=self._process_start.monotonic_s,
                 untouched=",".join(proven),
             )
             await self.renew()
 
     async def _read_own_record(self) -> LockRecord | None:
-        listing = await self._store.list_newest(Topic.LOCKS)
-        for record in listing.records:
+        batch = await self._store.list_newest(Topic.LOCKS)
+        for record in batch.records:
             if record.key == self._board.host and record.value is not None:
                 try:
                     return LOCK_CODEC.decode(record.value)
--- a/trefoilstage/components/escrow/messages.py
+++ b/trefoilstage/components/escrow/messages.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Literal
 
-from trefoilstage.helpers.fields import Name, Tokens
+from trefoilstage.helpers.field_types import Name, Tokens
 from trefoilstage.helpers.verdict import Reason
 
 
--- a/trefoilstage/components/escrow/ranking.py
+++ b/trefoilstage/components/escrow/ranking.py
@@ -11,7 +11,7 @@
 from trefoilstage.components.fleet.membership import FleetMembership
 from trefoilstage.fleet_board import FleetBoard
 from trefoilstage.phase import Phase
-from trefoilstage.util.hashing import rank_names
+from trefoilstage.util.hashing import rank_by_rendezvous_cached
 
 N_FALLBACK_HOMES = 2
 HOME_RANKS = (HomeRank.FIRST, HomeRank.SECOND)  # of the first hosts by rendezvous hash
@@ -28,7 +28,9 @@
         """Return this host's rank for a workspace, by the hosts it knows to be live."""
         if self._board.phase is not Phase.SERVING:
             return HomeRank.NONE
-        first = rank_names(workspace, self._membership.list_live())[: len(HOME_RANKS)]
+        first = rank_by_rendezvous_cached(workspace, self._membership.list_live())[
+            : len(HOME_RANKS)
+        ]
         if self._board.host not in first:
             return HomeRank.NONE
         return HOME_RANKS[first.index(self._board.host)]
@@ -41,7 +43,7 @@
         hosts that report that they reach the store. If no host does, the next hosts
         by rank are used.
         """
-        ranked = rank_names(workspace, self._membership.list_live())
+        ranked = rank_by_rendezvous_cached(workspace, self._membership.list_live())
         others = [host for host in ranked if host != self._board.host]
         if not others:
             return [self._board.host]
--- a/trefoilstage/components/escrow/record.py
+++ b/trefoilstage/components/escrow/record.py
@@ -8,7 +8,7 @@
 
 from trefoilstage.const import MAX_RECORD_BYTES
 from trefoilstage.helpers.codec import Codec
-from trefoilstage.helpers.fields import Name, Tokens
+from trefoilstage.helpers.field_types import Name, Tokens
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -78,5 +78,5 @@
 
 
 ACCOUNT_CODEC: Codec[AccountRecord] = Codec(
-    family=AccountRecord, max_bytes=MAX_RECORD_BYTES
+    message_type=AccountRecord, max_bytes=MAX_RECORD_BYTES
 )
--- a/trefoilstage/components/escrow/rosters.py
+++ b/trefoilstage/components/escrow/rosters.py
@@ -16,8 +16,8 @@
 from trefoilstage.exceptions import MalformedMessageError
 from trefoilstage.helpers.codec import Codec
 from trefoilstage.helpers.events import Event, log_event
-from trefoilstage.helpers.fields import Name
-from trefoilstage.util.hashing import pick_stream
+from trefoilstage.helpers.field_types import Name
+from trefoilstage.util.hashing import hash_to_bucket
 
 # Rosters kept in memory; others are read or written again.
 MAX_CACHED_ROSTERS = 64
@@ -32,7 +32,7 @@
     members: dict[Name, Name]
 
 
-ROSTER_CODEC: Codec[Roster] = Codec(family=Roster, max_bytes=MAX_RECORD_BYTES)
+ROSTER_CODEC: Codec[Roster] = Codec(message_type=Roster, max_bytes=MAX_RECORD_BYTES)
 NO_MEMBERS: Mapping[str, str] = {}
 
 
@@ -63,7 +63,7 @@
         if name and name not in self._written:
             # All hosts write the same value under this name, so it may be stored twice.
             value = ROSTER_CODEC.encode(Roster(members=dict(members)))
-            partition = pick_stream(name, self._n_partitions)
+            partition = hash_to_bucket(name, self._n_partitions)
             await self._store.put(Topic.ROSTERS, name, value, partition=partition)
             self._written[name] = None
             self._cache(name, dict(members))
@@ -73,14 +73,14 @@
 
     async def read(self, name: str) -> Mapping[str, str] | None:
         """Return a roster that any host wrote, None if it is missing."""
-        for partition in (pick_stream(name, self._n_partitions), LEGACY_PARTITION):
+        for partition in (hash_to_bucket(name, self._n_partitions), LEGACY_PARTITION):
             if self.get(name) is None:
                 await self._read_partition(partition, name)
         return self.get(name)
 
     async def _read_partition(self, partition: int, name: str) -> None:
-        listing = await self._store.list_newest(Topic.ROSTERS, partition)
-        for record in listing.records:
+        batch = await self._store.list_newest(Topic.ROSTERS, partition)
+        for record in batch.records:
             if record.key != name or record.value is None:
                 continue
             try:
--- a/trefoilstage/components/fleet/messages.py
+++ b/trefoilstage/components/fleet/messages.py
@@ -12,7 +12,7 @@
 from trefoilstage.components.views.keyed_view import KeyedRecord
 from trefoilstage.components.views.store import Topic
 from trefoilstage.helpers.codec import Codec
-from trefoilstage.helpers.fields import Name, Tokens
+from trefoilstage.helpers.field_types import Name, Tokens
 
 # The largest fleet; a heartbeat has one byte per host.
 MAX_HOSTS = 10_000
--- a/trefoilstage/components/fleet/metrics.py
+++ b/trefoilstage/components/fleet/metrics.py
@@ -10,10 +10,10 @@
 from trefoilstage.components.escrow.account import EscrowAccount
 from trefoilstage.fleet_board import FleetBoard
 from trefoilstage.helpers.events import Event, log_event
-from trefoilstage.helpers.exposition import CONTENT_TYPE, MetricsPage
-from trefoilstage.helpers.lines import LineWriter
+from trefoilstage.helpers.log_line_writer import LineWriter
+from trefoilstage.helpers.metrics_page import CONTENT_TYPE, MetricsPage
 from trefoilstage.timer import TimerService
-from trefoilstage.util.stalls import StallWatch
+from trefoilstage.util.stalls import StallDetector
 
 PATH = "/metrics"
 # How often log lines that a slow reader has not accepted yet are written again.
@@ -45,7 +45,7 @@
         self._count_active = count_active
         self._count_blocked = count_blocked
         self._page = MetricsPage()
-        self._stalls = StallWatch(interval_s=FLUSH_INTERVAL_S)
+        self._stalls = StallDetector(interval_s=FLUSH_INTERVAL_S)
         self._runner: web.ServerRunner | None = None
 
     async def on_start(self) -> None:
@@ -77,7 +77,7 @@
 
     async def _flush_and_check_stall(self) -> None:
         self._lines.flush()
-        stall = self._stalls.note_tick(self._timer.now(), time.process_time())
+        stall = self._stalls.record_tick(self._timer.now(), time.process_time())
         if stall is not None:
             log_event(
                 Event.HOST_STALLED,
--- a/trefoilstage/components/fleet/watcher.py
+++ b/trefoilstage/components/fleet/watcher.py
@@ -8,7 +8,7 @@
 from trefoilstage.components.views.store import Topic
 from trefoilstage.exceptions import MalformedMessageError
 from trefoilstage.fleet_board import FleetBoard
-from trefoilstage.helpers.events import Event, log_event, shorten
+from trefoilstage.helpers.events import Event, log_event, truncate_text
 
 DecodeConfiguration = Callable[[bytes], FleetConfiguration]
 DecodeTarget = Callable[[str, bytes], TargetEntry]
@@ -45,9 +45,9 @@
                 log_event(
                     Event.RECORD_MALFORMED,
                     topic=topic,
-                    key=shorten(record.key),
+                    key=truncate_text(record.key),
                     offset=record.offset,
-                    error=shorten(str(error)),
+                    error=truncate_text(str(error)),
                 )
 
     def _apply_configuration(self, record: KeyedRecord) -> None:
--- a/trefoilstage/components/forwarding/messages.py
+++ b/trefoilstage/components/forwarding/messages.py
@@ -6,7 +6,7 @@
 from trefoilstage.components.forwarding.models import PromptPart
 from trefoilstage.components.forwarding.prefill_speed import PrefillTotals
 from trefoilstage.components.forwarding.work import Work
-from trefoilstage.helpers.fields import Count, Name
+from trefoilstage.helpers.field_types import Count, Name
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
--- a/trefoilstage/components/forwarding/placement.py
+++ b/trefoilstage/components/forwarding/placement.py
@@ -16,7 +16,7 @@
 from trefoilstage.components.forwarding.prefill_speed import DEFAULT_TOKENS_PER_S
 from trefoilstage.components.forwarding.prompt_cache import USABLE_MEMORY_SHARE
 from trefoilstage.components.forwarding.work import Work
-from trefoilstage.util.hashing import rank_by_rendezvous, rank_names
+from trefoilstage.util.hashing import rank_by_rendezvous, rank_by_rendezvous_cached
 
 # Each running request delays the tokens of the others: with 64 requests at once, an
 # engine step takes 1.5 times as long as with one.
@@ -90,7 +90,9 @@
 def rank_candidates(targets: Sequence[TargetEntry], subject: str) -> list[TargetEntry]:
     """Return the targets ranked for a subject, in the same order on all hosts."""
     by_name = {target.name: target for target in targets}
-    return [by_name[name] for name in rank_names(subject, tuple(by_name))]
+    return [
+        by_name[name] for name in rank_by_rendezvous_cached(subject, tuple(by_name))
+    ]
 
 
 def is_full(option: TargetOption, need: PromptNeed) -> bool:
--- a/trefoilstage/components/forwarding/sender.py
+++ b/trefoilstage/components/forwarding/sender.py
@@ -20,7 +20,7 @@
 )
 from trefoilstage.exceptions import TrefoilstageError
 from trefoilstage.fleet_board import FleetBoard
-from trefoilstage.helpers.sends import Attempt, RepeatedSendError, open_session
+from trefoilstage.helpers.send_trace import RepeatedSendError, SendAttempt, open_session
 
 # A target in the same region accepts within 2 ms. The kernel resends a lost SYN packet
 # only after 1 s; another target is tried long before that.
@@ -115,7 +115,7 @@
         options: ForwardOptions,
     ) -> OpenAnswer | NotRun | InvalidAnswer:
         """Return a target's answer, or whether it may have run the request."""
-        attempt = Attempt(once=True)
+        attempt = SendAttempt(at_most_once=True)
         try:
             response = await self._session.request(
                 request.method,
--- a/trefoilstage/components/forwarding/work.py
+++ b/trefoilstage/components/forwarding/work.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from trefoilstage.helpers.fields import Count
+from trefoilstage.helpers.field_types import Count
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
--- a/trefoilstage/components/forwarding/workload.py
+++ b/trefoilstage/components/forwarding/workload.py
@@ -34,7 +34,7 @@
 from trefoilstage.exceptions import PeerUnavailableError
 from trefoilstage.fleet_board import FleetBoard
 from trefoilstage.timer import TimerService
-from trefoilstage.util.hashing import rank_names
+from trefoilstage.util.hashing import rank_by_rendezvous_cached
 
 # Prefill of a prompt of 12,000 tokens takes 0.2 s. Half of that is short enough for
 # reports to describe prompts that are still being processed.
@@ -225,7 +225,7 @@
         live = self._board.list_live_hosts(self._timer.now(), MAX_HOME_SILENCE_S)
         groups: dict[str, list[str]] = defaultdict(list)
         for target in targets:
-            ranked = rank_names(target, live)
+            ranked = rank_by_rendezvous_cached(target, live)
             if ranked:
                 groups[ranked[0]].append(target)
         return groups
--- a/trefoilstage/components/keys/messages.py
+++ b/trefoilstage/components/keys/messages.py
@@ -5,7 +5,7 @@
 
 from pydantic import Field
 
-from trefoilstage.helpers.fields import Name, Tokens
+from trefoilstage.helpers.field_types import Name, Tokens
 
 Standing = Literal["granted", "held", "conflict"]
 Detail = Annotated[str, Field(max_length=1000)]
--- a/trefoilstage/components/log_client/streams.py
+++ b/trefoilstage/components/log_client/streams.py
@@ -18,7 +18,7 @@
 from trefoilstage.const import CONFIG_STREAM, LEDGER_STREAM_PREFIX
 from trefoilstage.exceptions import StreamNotFollowedError
 from trefoilstage.ledger.records import LedgerRecord
-from trefoilstage.util.hashing import pick_stream, rank_by_rendezvous
+from trefoilstage.util.hashing import hash_to_bucket, rank_by_rendezvous
 
 LedgerListener = Callable[[int, StreamService], None]
 
@@ -98,7 +98,7 @@
     def pick_number(self, account: str) -> int:
         """Return the number of the ledger stream of an account."""
         n_streams = self._blackboard.configuration.fleet.ledger_streams
-        return pick_stream(account, n_streams)
+        return hash_to_bucket(account, n_streams)
 
     def submit_ledger(self, number: int, record: LedgerRecord) -> Ticket:
         """Queue a record, or raise StreamNotFollowedError before the stream starts."""
--- a/trefoilstage/components/operators/metrics.py
+++ b/trefoilstage/components/operators/metrics.py
@@ -8,7 +8,7 @@
 from trefoilstage.blackboard import Blackboard
 from trefoilstage.components.log_client.streams import Streams
 from trefoilstage.components.operators.views import describe_budgets
-from trefoilstage.helpers.metrics import EventMeter, Metrics
+from trefoilstage.helpers.metrics import EventMeter, StatsdMetrics
 from trefoilstage.timer import TimerService
 
 SAMPLE_INTERVAL_S = 5.0
@@ -23,7 +23,7 @@
         blackboard: Blackboard,
         streams: Streams,
         timer: TimerService,
-        metrics: Metrics,
+        metrics: StatsdMetrics,
         gauges: Mapping[str, Callable[[], float]],
     ) -> None:
         super().__init__()
--- a/trefoilstage/components/operators/models.py
+++ b/trefoilstage/components/operators/models.py
@@ -4,7 +4,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field
 
-from trefoilstage.helpers.fields import Name
+from trefoilstage.helpers.field_types import Name
 from trefoilstage.helpers.finding import Finding
 
 OperationId = Annotated[str, Field(min_length=8, max_length=64)]
--- a/trefoilstage/components/operators/server.py
+++ b/trefoilstage/components/operators/server.py
@@ -44,7 +44,7 @@
 from trefoilstage.ledger.records import TopUp
 
 BodyT = TypeVar("BodyT", bound=BaseModel)
-VERDICT_WAIT_S = 5.0
+VERDICT_TIMEOUT_S = 5.0
 # Long enough to query hundreds of hosts for their log positions a few times.
 DECLARED_LOST_TTL_S = 120.0
 MAX_BODY_BYTES = 1_000_000
@@ -187,7 +187,7 @@
         self, stream: StreamService, ticket: Ticket, operation: str
     ) -> web.Response:
         try:
-            async with asyncio.timeout(VERDICT_WAIT_S):
+            async with asyncio.timeout(VERDICT_TIMEOUT_S):
                 verdict = await stream.wait_for_verdict(ticket)
         except TimeoutError:
             # The record may still be appended, so the change is not reported as
--- a/trefoilstage/components/peers/frames.py
+++ b/trefoilstage/components/peers/frames.py
@@ -7,7 +7,7 @@
 
 from trefoilstage.const import MAX_PEER_MESSAGE_BYTES
 from trefoilstage.helpers.codec import Codec
-from trefoilstage.helpers.fields import Name, Tokens
+from trefoilstage.helpers.field_types import Name, Tokens
 
 BodyT = TypeVar("BodyT")
 
@@ -32,4 +32,4 @@
 def make_frame_codec(messages: Any) -> Codec[Frame[Any]]:
     """Return the codec for frames around a union of messages with a `kind` each."""
     body = Annotated[messages, Field(discriminator="kind")]
-    return Codec(family=Frame[body], max_bytes=MAX_PEER_MESSAGE_BYTES)
+    return Codec(message_type=Frame[body], max_bytes=MAX_PEER_MESSAGE_BYTES)
--- a/trefoilstage/components/peers/messages.py
+++ b/trefoilstage/components/peers/messages.py
@@ -18,7 +18,7 @@
     make_frame_codec,
 )
 from trefoilstage.helpers.codec import Codec
-from trefoilstage.helpers.fields import Name, Tokens
+from trefoilstage.helpers.field_types import Name, Tokens
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
--- a/trefoilstage/components/targets/client.py
+++ b/trefoilstage/components/targets/client.py
@@ -30,7 +30,7 @@
 )
 from trefoilstage.exceptions import NotReadyError, TrefoilstageError
 from trefoilstage.helpers.events import Event, log_event
-from trefoilstage.helpers.sends import Attempt
+from trefoilstage.helpers.send_trace import SendAttempt
 
 HTTP_OK = 200
 HTTP_CONFLICT = 409
@@ -121,7 +121,7 @@
         loop = asyncio.get_running_loop()
         deadline = loop.time() + generation_request.timeout_s
         while True:
-            attempt = Attempt(once=False)
+            attempt = SendAttempt(at_most_once=False)
             try:
                 return await self._session.post(
                     url,
--- a/trefoilstage/components/views/follower.py
+++ b/trefoilstage/components/views/follower.py
@@ -68,21 +68,21 @@
 
     async def _read_changes(self) -> None:
         if not self._has_listing:
-            listing = await self._store.list_newest(self._topic)
+            batch = await self._store.list_newest(self._topic)
             self._board.store.note_answer(self._now())
-            changed = self.view.merge_listing(listing.records, listing.end_offset)
+            changed = self.view.merge_listing(batch.records, batch.end_offset)
             self._has_listing = True
             log_event(
                 Event.VIEW_LISTED, topic=self._topic, offset=self.view.next_offset
             )
         else:
-            listing = await self._store.read(
+            batch = await self._store.read(
                 self._topic, self.view.next_offset, self._wait_s
             )
             # The board must show that the store is reachable before the callback runs:
             # a target whose entry expired during the outage may register again.
             self._board.store.note_answer(self._now())
-            changed = self.view.merge(listing.records)
+            changed = self.view.merge(batch.records)
         self._notify(changed)
 
     def _notify(self, changed: list[KeyedRecord]) -> None:
--- a/trefoilstage/components/views/keyed_view.py
+++ b/trefoilstage/components/views/keyed_view.py
@@ -65,7 +65,7 @@
         self.next_offset = max(self.next_offset, end_offset)
         return changed
 
-    def trim(self, max_records: int) -> None:
+    def drop_oldest_records(self, max_records: int) -> None:
         """Drop all but the newest `max_records` once there are twice as many.
 
         Records of deleted keys count too.
--- a/trefoilstage/components/views/store.py
+++ b/trefoilstage/components/views/store.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Listing:
+class RecordBatch:
     """Represent records read from a topic and the offset that follows them."""
 
     records: list[KeyedRecord]
@@ -43,12 +43,12 @@
 class Store(Protocol):
     """Read and write keyed topics."""
 
-    async def list_newest(self, topic: Topic, partition: int = 0) -> Listing:
+    async def list_newest(self, topic: Topic, partition: int = 0) -> RecordBatch:
         """Return the newest record of each key in a partition."""
 
     async def read(
         self, topic: Topic, offset: int, wait_s: float, partition: int = 0
-    ) -> Listing:
+    ) -> RecordBatch:
         """Return the records from an offset on; wait up to `wait_s` if none exist.
 
         Raise OffsetExpiredError if the store no longer keeps the offset.
--- a/trefoilstage/configuration/records.py
+++ b/trefoilstage/configuration/records.py
@@ -11,7 +11,7 @@
 
 from trefoilstage.const import MAX_RECORD_BYTES, RECORD_VERSION
 from trefoilstage.helpers.codec import Codec
-from trefoilstage.helpers.fields import Name
+from trefoilstage.helpers.field_types import Name
 from trefoilstage.ledger.records import Checkpoint, Upgrade
 
 FileName = Annotated[str, Field(pattern=r"^[0-9A-Za-z][0-9A-Za-z_-]{0,80}\.toml$")]
@@ -75,5 +75,5 @@
 
 
 CONFIG_CODEC: Codec[ConfigEnvelope] = Codec(
-    family=ConfigEnvelope, max_bytes=MAX_RECORD_BYTES
+    message_type=ConfigEnvelope, max_bytes=MAX_RECORD_BYTES
 )
--- a/trefoilstage/daemon.py
+++ b/trefoilstage/daemon.py
@@ -11,10 +11,10 @@
 import uvloop
 
 from trefoilstage.exceptions import HostCrashedError, SettingsError
-from trefoilstage.helpers.events import set_up_events
+from trefoilstage.helpers.events import set_up_event_log
 from trefoilstage.host import Host
 from trefoilstage.settings import HostSettings, load_settings
-from trefoilstage.util.startup import start_collector
+from trefoilstage.util.startup import enable_garbage_collector
 
 EXIT_CRASHED = 1
 EXIT_BAD_SETTINGS = 2
@@ -37,7 +37,7 @@
     loop.add_signal_handler(signal.SIGUSR1, host.write_dump)
     try:
         await host.start()
-        start_collector()
+        enable_garbage_collector()
         await host.run()
     finally:
         await host.stop()
@@ -46,7 +46,7 @@
 def main() -> None:
     """Start the daemon from the command line."""
     arguments = cappa.parse(Daemon)
-    set_up_events()
+    set_up_event_log()
     try:
         settings = load_settings(arguments.settings)
     except SettingsError as error:
--- a/trefoilstage/fleet_host.py
+++ b/trefoilstage/fleet_host.py
@@ -22,7 +22,7 @@
 from trefoilstage.fleet_settings import FleetSettings
 from trefoilstage.helpers.dump import StateRegistry
 from trefoilstage.helpers.events import Event, describe_error, log_event
-from trefoilstage.helpers.lines import LineWriter
+from trefoilstage.helpers.log_line_writer import LineWriter
 from trefoilstage.phase import Phase
 from trefoilstage.util.process_start import ProcessStart
 
--- a/trefoilstage/fleet_parts.py
+++ b/trefoilstage/fleet_parts.py
@@ -100,7 +100,7 @@
             membership.take_records(records)
         elif topic is Topic.CRASHES:
             crashes.apply_records(records)
-            followers[topic].view.trim(MAX_CRASHES)
+            followers[topic].view.drop_oldest_records(MAX_CRASHES)
         else:
             watcher.take(topic, records, asyncio.get_running_loop().time())
 
--- a/trefoilstage/helpers/codec.py
+++ b/trefoilstage/helpers/codec.py
@@ -13,8 +13,8 @@
 class Codec(Generic[MessageT]):
     """Encode and decode one message type, or a union of them."""
 
-    def __init__(self, *, family: Any, max_bytes: int) -> None:
-        self._adapter: TypeAdapter[MessageT] = TypeAdapter(family)
+    def __init__(self, *, message_type: Any, max_bytes: int) -> None:
+        self._adapter: TypeAdapter[MessageT] = TypeAdapter(message_type)
         self._max_bytes = max_bytes
 
     def encode(self, message: MessageT) -> bytes:
--- a/trefoilstage/helpers/dump.py
+++ b/trefoilstage/helpers/dump.py
@@ -54,11 +54,11 @@
         }
 
 
-def dump_part(part: object) -> dict[str, Any]:
+def dump_component(component: object) -> dict[str, Any]:
     """Return a component's own data attributes, without the objects that it uses."""
     return {
         name.lstrip("_"): dump_value(value)
-        for name, value in sorted(vars(part).items())
+        for name, value in sorted(vars(component).items())
         if name not in MODE_SERVICE_FIELDS and isinstance(value, DUMPED_TYPES)
     }
 
--- a/trefoilstage/helpers/events.py
+++ b/trefoilstage/helpers/events.py
@@ -10,10 +10,10 @@
 
 import eliot
 
-from trefoilstage.helpers.lines import LineWriter
+from trefoilstage.helpers.log_line_writer import LineWriter
 
-STANDARD_OUTPUT = 1
-STANDARD_ERROR = 2
+STDOUT_DESCRIPTOR = 1
+STDERR_DESCRIPTOR = 2
 LEADING_FIELDS = ("timestamp", "message_type")
 OMITTED_FIELDS = frozenset({"task_uuid", "task_level"})
 
@@ -136,7 +136,7 @@
     return json.dumps(text)
 
 
-def shorten(text: str) -> str:
+def truncate_text(text: str) -> str:
     """Return a text from another process, truncated to the maximum quoted length."""
     return text if len(text) <= MAX_QUOTED_CHARS else f"{text[:MAX_QUOTED_CHARS]}..."
 
@@ -191,7 +191,7 @@
         )
 
 
-def set_up_events(descriptor: int = STANDARD_ERROR) -> LineWriter:
+def set_up_event_log(descriptor: int = STDERR_DESCRIPTOR) -> LineWriter:
     """Write events and library warnings to a file descriptor; return the writer."""
     writer = LineWriter(descriptor=descriptor)
     eliot.add_destinations(EventWriter(writer=writer))
--- a/trefoilstage/helpers/http.py
+++ b/trefoilstage/helpers/http.py
@@ -39,7 +39,7 @@
             log_event(
                 Event.HANDLER_FAILED,
                 method=request.method,
-                path=get_pattern(request),
+                path=get_route_pattern(request),
                 error=describe_error(error),
             )
             return make_error_response(Reason.INTERNAL, HTTP_INTERNAL_ERROR)
@@ -47,7 +47,7 @@
     return answer_errors
 
 
-def get_pattern(request: web.Request) -> str:
+def get_route_pattern(request: web.Request) -> str:
     """Return the path pattern of a request's route, "" if none matched."""
     resource = request.match_info.route.resource
     return resource.canonical if resource is not None else ""
--- a/trefoilstage/helpers/metrics.py
+++ b/trefoilstage/helpers/metrics.py
@@ -10,7 +10,7 @@
 MS_PER_S = 1000
 
 
-class Metrics:
+class StatsdMetrics:
     """Collect counters, durations and gauges; do nothing without an address."""
 
     def __init__(self, *, address: str | None, port: int, host: str) -> None:
@@ -59,7 +59,7 @@
 class EventMeter:
     """Count events by name and reason, so that components need no own counters."""
 
-    def __init__(self, *, metrics: Metrics) -> None:
+    def __init__(self, *, metrics: StatsdMetrics) -> None:
         self._metrics = metrics
 
     def __call__(self, message: Mapping[str, Any]) -> None:
--- a/trefoilstage/helpers/stories.py
+++ b/trefoilstage/helpers/request_history.py
@@ -61,11 +61,12 @@
     """Represent the log lines that explain what happened to a request."""
 
     lines: tuple[LogLine, ...]  # about the request itself, in order
-    beliefs: tuple[LogLine, ...]  # state known to its hosts when it arrived
-    account: tuple[LogLine, ...]  # changes of its workspace's escrow at that time
+    host_states: tuple[LogLine, ...]  # state known to its hosts when it arrived
+    # Changes of its workspace's escrow at that time.
+    account_changes: tuple[LogLine, ...]
 
 
-def read_line(text: str, source: str) -> LogLine | None:
+def parse_log_line(text: str, source: str) -> LogLine | None:
     """Return a parsed log line, or None if the text is not one of this program."""
     prefix, separator, _ = text.partition("timestamp=")
     if not separator:
@@ -88,12 +89,12 @@
         return value
 
 
-def find_story(lines: Iterable[LogLine], request: str) -> RequestHistory:
+def find_request_history(lines: Iterable[LogLine], request: str) -> RequestHistory:
     """Return the history of a request from the log lines of all hosts."""
     sorted_lines = sorted(lines, key=lambda line: line.timestamp)
     request_lines = [line for line in sorted_lines if is_about_request(line, request)]
     if not request_lines:
-        return RequestHistory(lines=(), beliefs=(), account=())
+        return RequestHistory(lines=(), host_states=(), account_changes=())
     sources = {line.source for line in request_lines}
     targets = {
         line.fields["target"] for line in request_lines if "target" in line.fields
@@ -118,8 +119,8 @@
     host_states = sorted(latest_by_state.values(), key=lambda line: line.timestamp)
     return RequestHistory(
         lines=tuple(request_lines),
-        beliefs=tuple(host_states),
-        account=tuple(account_changes),
+        host_states=tuple(host_states),
+        account_changes=tuple(account_changes),
     )
 
 
--- a/trefoilstage/helpers/sends.py
+++ b/trefoilstage/helpers/send_trace.py
@@ -7,7 +7,7 @@
 import aiohttp
 
 from trefoilstage.exceptions import TrefoilstageError
-from trefoilstage.util.stalls import stood_still
+from trefoilstage.util.stalls import was_process_stalled
 
 
 class RepeatedSendError(TrefoilstageError):
@@ -15,10 +15,10 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class Attempt:
+class SendAttempt:
     """Track the progress of one call; updated by the send trace."""
 
-    once: bool  # fail rather than send twice
+    at_most_once: bool  # fail rather than send twice
     n_sent: int = 0
     # When the client began to open a connection, on the event loop's clock.
     connecting_since: float | None = None
@@ -28,11 +28,11 @@
         if self.connecting_since is None:
             return False
         now = asyncio.get_running_loop().time()
-        return stood_still(self.connecting_since + timeout_s, now)
+        return was_process_stalled(self.connecting_since + timeout_s, now)
 
 
 def make_send_trace() -> aiohttp.TraceConfig:
-    """Return a trace that counts sends and prevents repeats of `once` attempts."""
+    """Return a trace that counts sends and prevents repeats if `at_most_once`."""
     trace = aiohttp.TraceConfig()
     trace.on_connection_create_start.append(record_connection_start)
     trace.on_request_headers_sent.append(count_send)
@@ -46,7 +46,7 @@
 ) -> None:
     """Record when the client begins to open a connection."""
     attempt = context.trace_request_ctx
-    if isinstance(attempt, Attempt):
+    if isinstance(attempt, SendAttempt):
         attempt.connecting_since = asyncio.get_running_loop().time()
 
 
@@ -57,13 +57,13 @@
 ) -> None:
     """Count a send before its headers are written; raise if it must not repeat."""
     attempt = context.trace_request_ctx
-    if not isinstance(attempt, Attempt):
+    if not isinstance(attempt, SendAttempt):
         return
     # aiohttp retries PUT, DELETE and GET when their connection breaks, even if the
     # service has already processed the call. A booking would then run twice. Every send
     # passes through this callback, so raising here, before the headers are written a
     # second time, prevents that.
-    if attempt.once and attempt.n_sent:
+    if attempt.at_most_once and attempt.n_sent:
         raise RepeatedSendError("the connection broke after the call was sent")
     attempt.n_sent += 1
 
--- a/trefoilstage/host.py
+++ b/trefoilstage/host.py
@@ -13,7 +13,7 @@
 from trefoilstage.components.membership.host_list import HostListController
 from trefoilstage.configuration.records import HostDown, HostUp
 from trefoilstage.exceptions import HostCrashedError
-from trefoilstage.helpers.dump import StateRegistry, dump_part
+from trefoilstage.helpers.dump import StateRegistry, dump_component
 from trefoilstage.helpers.events import Event, describe_error, log_event
 from trefoilstage.phase import Phase
 from trefoilstage.settings import HostSettings
@@ -59,7 +59,7 @@
         self._registry.register("settings", lambda: self._settings)
         for service in services:
             name = type(service).__name__
-            self._registry.register(name, partial(dump_part, service))
+            self._registry.register(name, partial(dump_component, service))
         self._registry.register("keys", self._parts.keys.describe)
 
     async def _announce(self) -> None:
--- a/trefoilstage/ledger/records.py
+++ b/trefoilstage/ledger/records.py
@@ -12,7 +12,7 @@
 
 from trefoilstage.const import MAX_RECORD_BYTES, RECORD_VERSION
 from trefoilstage.helpers.codec import Codec
-from trefoilstage.helpers.fields import Name, Tokens
+from trefoilstage.helpers.field_types import Name, Tokens
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -221,5 +221,5 @@
 
 
 LEDGER_CODEC: Codec[LedgerEnvelope] = Codec(
-    family=LedgerEnvelope, max_bytes=MAX_RECORD_BYTES
+    message_type=LedgerEnvelope, max_bytes=MAX_RECORD_BYTES
 )
--- a/trefoilstage/platform/process.py
+++ b/trefoilstage/platform/process.py
@@ -14,12 +14,12 @@
 from trefoilstage.fleet_host import FleetHost, make_board
 from trefoilstage.fleet_settings import FleetSettings
 from trefoilstage.helpers.events import (
-    STANDARD_OUTPUT,
+    STDOUT_DESCRIPTOR,
     Event,
     log_event,
-    set_up_events,
+    set_up_event_log,
 )
-from trefoilstage.helpers.lines import LineWriter
+from trefoilstage.helpers.log_line_writer import LineWriter
 from trefoilstage.platform.configuration import (
     CONFIGURATION_KEY,
     decode_configuration,
@@ -29,7 +29,7 @@
 from trefoilstage.platform.settings import load_platform_settings
 from trefoilstage.platform.store import StoreClient
 from trefoilstage.util.process_start import ProcessStart, read_process_start
-from trefoilstage.util.startup import start_collector
+from trefoilstage.util.startup import enable_garbage_collector
 
 SETTINGS_PATH_VARIABLE = "TREFOILSTAGE_CONFIG"
 # Remainder of the shutdown grace period after the drain and the return of tokens.
@@ -68,7 +68,7 @@
         loop.add_signal_handler(signal.SIGHUP, log_settings_changes, path, settings)
         try:
             await host.start()
-            loop.call_later(GARBAGE_COLLECTION_DELAY_S, start_collector)
+            loop.call_later(GARBAGE_COLLECTION_DELAY_S, enable_garbage_collector)
             await host.run()
         finally:
             await stop_host(host)
@@ -102,7 +102,7 @@
 def main() -> None:
     """Run a host with the settings file that the platform names."""
     process_start = read_process_start()
-    lines = set_up_events(STANDARD_OUTPUT)
+    lines = set_up_event_log(STDOUT_DESCRIPTOR)
     try:
         path = Path(os.environ[SETTINGS_PATH_VARIABLE])
         settings = load_platform_settings(path)
--- a/trefoilstage/platform/store.py
+++ b/trefoilstage/platform/store.py
@@ -9,8 +9,8 @@
 
 from trefoilstage.components.views.keyed_view import KeyedRecord
 from trefoilstage.components.views.store import (
-    Listing,
     OffsetExpiredError,
+    RecordBatch,
     StoreRefusedError,
     StoreUnavailableError,
     Topic,
@@ -71,7 +71,7 @@
         self._session = session
         self._url = url
 
-    async def list_newest(self, topic: Topic, partition: int = 0) -> Listing:
+    async def list_newest(self, topic: Topic, partition: int = 0) -> RecordBatch:
         """Return the newest record of each key, from all pages."""
         records: list[KeyedRecord] = []
         after: str | None = None
@@ -84,7 +84,7 @@
             items = validate_items(page.items, topic)
             records += [decode_item(item) for item in items]
             if not page.has_more or not items:
-                return Listing(records=records, end_offset=end_offset)
+                return RecordBatch(records=records, end_offset=end_offset)
             after = items[-1].key
 
     async def _list_page(
@@ -99,7 +99,7 @@
 
     async def read(
         self, topic: Topic, offset: int, wait_s: float, partition: int = 0
-    ) -> Listing:
+    ) -> RecordBatch:
         """Return the records from an offset on; wait up to `wait_s` for the first.
 
         Raise OffsetExpiredError if the store no longer keeps the offset.
@@ -207,7 +207,7 @@
     return RECORD_LENGTH.pack(len(content)) + content
 
 
-def decode_records(data: bytes, offset: int) -> Listing:
+def decode_records(data: bytes, offset: int) -> RecordBatch:
     """Decode the response to a read that began at an offset."""
     records: list[KeyedRecord] = []
     try:
@@ -225,7 +225,7 @@
             records.append(decode_content(content, offset + len(records)))
     except struct.error as error:
         raise StoreUnavailableError("malformed records") from error
-    return Listing(records=records, end_offset=offset + len(records))
+    return RecordBatch(records=records, end_offset=offset + len(records))
 
 
 def decode_content(content: bytes, offset: int) -> KeyedRecord:
--- a/trefoilstage/util/hashing.py
+++ b/trefoilstage/util/hashing.py
@@ -17,7 +17,7 @@
     return hashlib.sha256(secret.encode()).hexdigest()
 
 
-def hash_request_key(workspace: str, key: str) -> str:
+def hash_idempotency_key(workspace: str, key: str) -> str:
     """Return a short digest of a workspace's idempotency key."""
     return xxhash.xxh3_128_hexdigest(f"{len(workspace)}:{workspace}:{key}".encode())
 
@@ -25,10 +25,10 @@
 def hash_call(name: str, body: bytes) -> str:
     """Return a digest of a call that ignores JSON spacing and key order."""
     head = f"{len(name)}:{name}:".encode()
-    return hashlib.sha256(head + make_canonical(body)).hexdigest()
+    return hashlib.sha256(head + canonicalize_json(body)).hexdigest()
 
 
-def make_canonical(body: bytes) -> bytes:
+def canonicalize_json(body: bytes) -> bytes:
     """Return JSON with sorted keys and no spaces; return other bytes unchanged."""
     try:
         value = json.loads(body, object_pairs_hook=parse_object)
@@ -49,11 +49,11 @@
 
 def rank_by_rendezvous(key: str, names: Iterable[str]) -> list[str]:
     """Return the names in rendezvous (highest random weight) order for a key."""
-    return list(rank_names(key, tuple(names)))
+    return list(rank_by_rendezvous_cached(key, tuple(names)))
 
 
 @lru_cache(maxsize=RANKING_CACHE_SIZE)
-def rank_names(key: str, names: tuple[str, ...]) -> tuple[str, ...]:
+def rank_by_rendezvous_cached(key: str, names: tuple[str, ...]) -> tuple[str, ...]:
     """Return the rendezvous order for a key, cached because few orders are used."""
 
     def compute_weight(name: str) -> tuple[int, str]:
@@ -62,6 +62,6 @@
     return tuple(sorted(names, key=compute_weight, reverse=True))
 
 
-def pick_stream(account: str, n_streams: int) -> int:
-    """Return the index of the ledger stream that an account hashes to."""
-    return int(xxhash.xxh3_64_intdigest(account.encode()) % n_streams)
+def hash_to_bucket(key: str, n_buckets: int) -> int:
+    """Return the index, below n_buckets, of the bucket that a key hashes to."""
+    return int(xxhash.xxh3_64_intdigest(key.encode()) % n_buckets)
--- a/trefoilstage/util/process_start.py
+++ b/trefoilstage/util/process_start.py
@@ -13,7 +13,7 @@
     """Represent a process start on the monotonic clock of one boot of the machine."""
 
     boot: str  # boot ID; empty if it could not be read
-    at: float  # monotonic clock, in seconds
+    monotonic_s: float  # monotonic clock, in seconds
     offset: float  # wall clock minus monotonic clock, in seconds
 
 
@@ -25,4 +25,4 @@
         # Without a boot ID, a reboot can't be detected from the monotonic clock.
         boot = ""
     now = time.monotonic()
-    return ProcessStart(boot=boot, at=now, offset=time.time() - now)
+    return ProcessStart(boot=boot, monotonic_s=now, offset=time.time() - now)
--- a/trefoilstage/util/stalls.py
+++ b/trefoilstage/util/stalls.py
@@ -4,7 +4,7 @@
 
 # Heartbeat intervals and latency objectives are of this order: a shorter stall can't be
 # distinguished from a busy host.
-STALLED_S = 0.25
+MIN_STALL_S = 0.25
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -15,12 +15,12 @@
     processor_s: float
 
 
-def stood_still(due: float, now: float) -> bool:
+def was_process_stalled(due: float, now: float) -> bool:
     """Return whether a timer fired so late that its process must have stalled."""
-    return now - due >= STALLED_S
+    return now - due >= MIN_STALL_S
 
 
-class StallWatch:
+class StallDetector:
     """Detect stalls by comparing the time between ticks with their interval.
 
     If the process used no CPU time during a stall, the cause was outside it: it was
@@ -33,7 +33,7 @@
         self._last_tick_at: float | None = None
         self._last_processor_s = 0.0
 
-    def note_tick(self, now: float, processor_s: float) -> Stall | None:
+    def record_tick(self, now: float, processor_s: float) -> Stall | None:
         """Record a tick and return the stall that preceded it, if any."""
         previous_tick_at, self._last_tick_at = self._last_tick_at, now
         used_s = processor_s - self._last_processor_s
@@ -41,6 +41,6 @@
         if previous_tick_at is None:
             return None
         late_s = now - previous_tick_at - self._interval_s
-        if late_s < STALLED_S:
+        if late_s < MIN_STALL_S:
             return None
         return Stall(late_s=late_s, processor_s=used_s)
--- a/trefoilstage/util/startup.py
+++ b/trefoilstage/util/startup.py
@@ -16,7 +16,7 @@
     gc.disable()
 
 
-def start_collector() -> None:
+def enable_garbage_collector() -> None:
     """Enable the garbage collector, exempting all objects loaded so far."""
     gc.collect()
     gc.freeze()
