--- a/tests/components/test_relay.py
+++ b/tests/components/test_relay.py
@@ -114,7 +114,7 @@
         skippable = []
         for stream in ("config", "ledger-0"):
             board.streams[stream] = StreamStatus(next_offset=1)
-            skippable.append(await self.fleet.relays["a"].is_lost(stream, 1))
+            skippable.append(await self.fleet.relays["a"].may_skip_record(stream, 1))
         self.assertEqual(skippable, [True, False])
 
     async def test_record_is_read_from_the_one_host_that_has_it(self) -> None:
--- a/tests/components/test_loss.py
+++ b/tests/components/test_skip_decision.py
@@ -3,21 +3,24 @@
 import unittest
 from dataclasses import replace
 
-from trefoilstage.components.log_client.loss import PeerPosition, may_go_on
+from trefoilstage.components.log_client.skip_decision import (
+    PeerPosition,
+    may_skip_record,
+)
 
-BEHIND = PeerPosition(incarnation="x-1", folded=3)
-LEVEL = PeerPosition(incarnation="x-1", folded=5)
-AHEAD = PeerPosition(incarnation="x-1", folded=6)
-REPLACED = PeerPosition(incarnation="x-2", folded=0)
+BEHIND = PeerPosition(incarnation="x-1", next_offset=3)
+LEVEL = PeerPosition(incarnation="x-1", next_offset=5)
+AHEAD = PeerPosition(incarnation="x-1", next_offset=6)
+REPLACED = PeerPosition(incarnation="x-2", next_offset=0)
 
 
-class LossTest(unittest.TestCase):
+class SkipDecisionTest(unittest.TestCase):
     """Decide for the host "b", whose next offset is 5."""
 
     def decide(self, **positions: PeerPosition | None) -> bool:
         """Return the decision given the positions of other hosts."""
         incarnations = dict.fromkeys(("a", "b", "c", "d"), "x-1")
-        return may_go_on(
+        return may_skip_record(
             host="b", offset=5, positions=positions, incarnations=incarnations
         )
 
@@ -31,7 +34,7 @@
         self.assertFalse(self.decide(c=replace(BEHIND, has_record=True)))
 
     def test_host_without_a_state_never_skips_a_record(self) -> None:
-        decision = may_go_on(host="b", offset=0, positions={}, incarnations={})
+        decision = may_skip_record(host="b", offset=0, positions={}, incarnations={})
         self.assertFalse(decision)
 
     def test_one_replaced_host_is_tolerated_and_two_are_not(self) -> None:
--- a/tests/components/test_stream.py
+++ b/tests/components/test_stream.py
@@ -99,15 +99,15 @@
         """Return no state, as without peers."""
         return None
 
-    async def search(self, stream: str, offset: int) -> LogPage | None:
+    async def find_dropped_records(self, stream: str, offset: int) -> LogPage | None:
         """Return no record, as without peers."""
         return None
 
-    async def is_shared(self, stream: str, offset: int) -> bool:
+    async def is_folded_by_peer(self, stream: str, offset: int) -> bool:
         """Return True, as without peers."""
         return True
 
-    async def is_lost(self, stream: str, offset: int) -> bool:
+    async def may_skip_record(self, stream: str, offset: int) -> bool:
         """Return False, as if some host did not respond."""
         return False
 
--- a/tests/fuzz/ledger_world.py
+++ b/tests/fuzz/ledger_world.py
@@ -22,7 +22,7 @@
 from trefoilstage.components.log_client.folds import LEDGER_STATE_ADAPTER
 from trefoilstage.configuration.schema import Preference
 from trefoilstage.helpers.verdict import Accepted
-from trefoilstage.ledger.fold import fold_envelope
+from trefoilstage.ledger.fold import fold_ledger_envelope
 from trefoilstage.ledger.records import (
     BilledRequest,
     Draw,
@@ -63,7 +63,7 @@
 
     def append(self, envelope: LedgerEnvelope) -> None:
         """Append a record and fold it for the oracle."""
-        fold_envelope(self.oracle, len(self.log), envelope)
+        fold_ledger_envelope(self.oracle, len(self.log), envelope)
         self.log.append(envelope)
         self.fingerprints.append(repr(self.oracle))
         account = self.oracle.accounts.get(ACCOUNT) or AccountState()
@@ -102,7 +102,7 @@
         start = host.state.next_offset
         for offset in range(start, min(len(self.log), start + n_records)):
             envelope = self.log[offset]
-            verdict = fold_envelope(host.state, offset, envelope)
+            verdict = fold_ledger_envelope(host.state, offset, envelope)
             assert repr(host.state) == self.fingerprints[offset], "folds differ"
             if envelope.incarnation == host.name:
                 amount = verdict.amount if isinstance(verdict, Accepted) else 0
--- a/tests/promises/test_settlement.py
+++ b/tests/promises/test_settlement.py
@@ -8,7 +8,7 @@
 from trefoilstage.components.log_client.checkpoints import unpack_state
 from trefoilstage.components.log_client.folds import LEDGER_STATE_ADAPTER
 from trefoilstage.helpers.verdict import ACCEPTED, Reason, Rejected, Verdict
-from trefoilstage.ledger.fold import fold_envelope
+from trefoilstage.ledger.fold import fold_ledger_envelope
 from trefoilstage.ledger.records import (
     BilledRequest,
     Draw,
@@ -55,7 +55,7 @@
         """Fold a record at the next offset under its writer's next sequence."""
         sequence = self.state.sequences.get(writer, -1) + 1
         envelope = LedgerEnvelope(incarnation=writer, sequence=sequence, record=record)
-        return fold_envelope(self.state, self.state.next_offset, envelope)
+        return fold_ledger_envelope(self.state, self.state.next_offset, envelope)
 
     def settle(
         self, *requests: BilledRequest, before: int = 0, writer: str = HOLDER
@@ -116,7 +116,7 @@
             for number, before, spent in ((2, 20, 30), (1, 0, 20), (2, 20, 30))
         ]
         verdicts = [
-            fold_envelope(self.state, self.state.next_offset, record)
+            fold_ledger_envelope(self.state, self.state.next_offset, record)
             for record in records
         ]
         early = Rejected(reason=Reason.OUT_OF_ORDER)
--- a/trefoilstage/cli/publish.py
+++ b/trefoilstage/cli/publish.py
@@ -36,7 +36,7 @@
     StatusAnswer,
     VerdictAnswer,
 )
-from trefoilstage.configuration.fold import NEW_FILE, HistoryEntry
+from trefoilstage.configuration.fold import NEW_FILE_REVISION, HistoryEntry
 from trefoilstage.exceptions import NotReadyError
 from trefoilstage.helpers.verdict import Reason
 
@@ -135,7 +135,7 @@
         # Without --base, the revision that the author edited is unknown, and a change
         # that another operator has made since would be overwritten without notice.
         if current is None:
-            return NEW_FILE
+            return NEW_FILE_REVISION
         is_seen = self.base is not None and current.revision <= self.base
         if not is_seen and not self.replace:
             self._exit_on_unseen_revision(current, name, content)
--- a/trefoilstage/components/booking/controller.py
+++ b/trefoilstage/components/booking/controller.py
@@ -147,7 +147,7 @@
         )
 
     async def _run_at_most_once(self, context: CallContext) -> CallResult:
-        stream_number = self._streams.pick_number(
+        stream_number = self._streams.get_ledger_number(
             f"workspace:{context.caller.workspace}"
         )
         intent = Intent(
--- a/trefoilstage/components/budget/controller.py
+++ b/trefoilstage/components/budget/controller.py
@@ -204,7 +204,7 @@
         if pool is None:
             pool = AccountPool(
                 account=account,
-                number=self._streams.pick_number(account),
+                number=self._streams.get_ledger_number(account),
                 prefix=self._blackboard.incarnation,
                 returnable=account.startswith(SITE_ACCOUNT_PREFIX),
             )
--- a/trefoilstage/components/configuration/controller.py
+++ b/trefoilstage/components/configuration/controller.py
@@ -59,7 +59,7 @@
     def _is_own_turn(self) -> bool:
         # All hosts see a change at the same time. The host of rank 0 writes the
         # limits; the others write them only if it has not done so by their turn.
-        rank = self._streams.rank_writer(f"limits@{self._revision}")
+        rank = self._streams.get_own_rank(f"limits@{self._revision}")
         delay_s = min(rank, MAX_STAGGER_RANK) * STAGGER_S
         return self._timer.now() - self._revision_at >= delay_s
 
@@ -69,7 +69,7 @@
 
     def _write_limits(self) -> None:
         for account, wanted in self._blackboard.config.limits.items():
-            number = self._streams.pick_number(account)
+            number = self._streams.get_ledger_number(account)
             account_state = self._blackboard.ledgers[number].accounts.get(account)
             if account_state is not None and account_state.revision >= wanted.revision:
                 continue
--- a/trefoilstage/components/log_client/client.py
+++ b/trefoilstage/components/log_client/client.py
@@ -49,7 +49,7 @@
 
     records: tuple[LogRecord, ...]
     next_offset: int
-    stale: bool = False
+    is_stale: bool = False
 
 
 class LogClient:
--- a/trefoilstage/components/log_client/folds.py
+++ b/trefoilstage/components/log_client/folds.py
@@ -27,7 +27,7 @@
 from trefoilstage.const import FOLD_VERSION, RECORD_VERSION
 from trefoilstage.exceptions import MalformedMessageError, UnsupportedVersionError
 from trefoilstage.helpers.verdict import ACCEPTED, Accepted, Reason, Rejected, Verdict
-from trefoilstage.ledger.fold import fold_envelope, skip_offset
+from trefoilstage.ledger.fold import fold_ledger_envelope, skip_offset
 from trefoilstage.ledger.records import (
     LEDGER_CODEC,
     Intent,
@@ -75,7 +75,7 @@
     def fold(self, offset: int, envelope: LedgerEnvelope) -> Verdict:
         """Apply an envelope at its offset and return the verdict."""
         check_upgrade(envelope.record, self.state.fold_version)
-        return fold_envelope(self.state, offset, envelope)
+        return fold_ledger_envelope(self.state, offset, envelope)
 
     def skip(self, offset: int) -> None:
         """Advance past an offset without a valid record."""
--- a/trefoilstage/components/log_client/interfaces.py
+++ b/trefoilstage/components/log_client/interfaces.py
@@ -17,13 +17,13 @@
     async def fetch_state(self, stream: str) -> PackedState | None:
         """Return a peer's state, for use if the log has no checkpoint."""
 
-    async def search(self, stream: str, offset: int) -> LogPage | None:
+    async def find_dropped_records(self, stream: str, offset: int) -> LogPage | None:
         """Return records dropped by the log, from a host that appended or read them."""
 
-    async def is_lost(self, stream: str, offset: int) -> bool:
+    async def may_skip_record(self, stream: str, offset: int) -> bool:
         """Return whether this host may skip the lost record at an offset."""
 
-    async def is_shared(self, stream: str, offset: int) -> bool:
+    async def is_folded_by_peer(self, stream: str, offset: int) -> bool:
         """Return whether another live host, if any, has folded up to an offset."""
 
 
--- a/trefoilstage/components/log_client/reach.py
+++ b/trefoilstage/components/log_client/reachability.py
@@ -7,34 +7,34 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class LogReach:
+class LogReachability:
     """Track whether the log replied to the last call, and how fast.
 
     The timeout grows with the log's response time. With a fixed timeout, every call to
     a slower log would be aborted and repeated, which adds to its load.
     """
 
-    timeout_base_s: float
-    up: bool = True
+    base_timeout_s: float
+    is_up: bool = True
     timeout_s: float = 0.0
 
     def __post_init__(self) -> None:
-        self.timeout_s = self.timeout_base_s
+        self.timeout_s = self.base_timeout_s
 
-    def note_answer(self, duration_s: float) -> bool:
+    def record_response(self, duration_s: float) -> bool:
         """Record a response; return whether the log was unreachable before."""
-        was_up = self.up
-        self.up = True
+        was_up = self.is_up
+        self.is_up = True
         scaled_timeout_s = min(MAX_TIMEOUT_S, duration_s * SLOW_FACTOR)
-        self.timeout_s = max(self.timeout_base_s, scaled_timeout_s)
+        self.timeout_s = max(self.base_timeout_s, scaled_timeout_s)
         return not was_up
 
-    def note_failure(self) -> bool:
+    def record_failure(self) -> bool:
         """Record a failure; return whether the log was reachable before."""
-        was_up = self.up
-        self.up = False
+        was_up = self.is_up
+        self.is_up = False
         return was_up
 
-    def lengthen_timeout(self) -> None:
+    def double_timeout(self) -> None:
         """Double the timeout of the next probe."""
         self.timeout_s = min(MAX_TIMEOUT_S, self.timeout_s * 2)
--- a/trefoilstage/components/log_client/kept.py
+++ b/trefoilstage/components/log_client/record_cache.py
@@ -9,7 +9,7 @@
 from trefoilstage.const import NO_OFFSET
 
 
-class KeptRecords:
+class RecordCache:
     """Cache the newest records of each stream, except those that must not be read.
 
     A record may turn up after another host has skipped its offset, for example with a
@@ -36,14 +36,14 @@
         )
         self._appended[stream].add(self._drop_fenced(stream, kept))
 
-    def find(self, stream: str, offset: int) -> LogPage | None:
+    def find_records(self, stream: str, offset: int) -> LogPage | None:
         """Return records from an offset, or None if the first one is not cached."""
-        page = self.find_end(stream, offset)
+        page = self.find_read_records(stream, offset)
         if page is not None and page.records:
             return page
         return self._appended[stream].read(offset)
 
-    def find_end(self, stream: str, offset: int) -> LogPage | None:
+    def find_read_records(self, stream: str, offset: int) -> LogPage | None:
         """Return the records read from an offset, or None if it is not cached.
 
         The page is empty if the offset is the end of what was read.
@@ -58,13 +58,13 @@
         tail = self._tails.get(stream)
         return tail if tail is not None and tail.next_offset else None
 
-    def get_next(self, stream: str) -> int:
+    def get_next_offset(self, stream: str) -> int:
         """Return the offset after the newest record read."""
         return self._tails[stream].next_offset
 
     def fence(self, stream: str, offset: int) -> bool:
         """Block the records up to an offset; return False if it is cached."""
-        if self.find(stream, offset) is not None:
+        if self.find_records(stream, offset) is not None:
             return False
         self._fenced[stream] = max(offset, self._fenced.get(stream, offset))
         return True
@@ -73,7 +73,7 @@
         """Return whether the record at an offset must not be read."""
         return offset <= self._fenced.get(stream, -1)
 
-    def find_first_beyond(self, stream: str) -> int:
+    def get_first_unfenced_offset(self, stream: str) -> int:
         """Return the first offset after the fence."""
         return self._fenced.get(stream, -1) + 1
 
--- a/trefoilstage/components/log_client/loss.py
+++ b/trefoilstage/components/log_client/skip_decision.py
@@ -5,7 +5,7 @@
 
 # A holder uses a draw only after its witness has acknowledged it, so both have folded
 # its record. If one of them was replaced, the other still reports the later offset.
-MAX_REPLACED = 1
+MAX_REPLACED_HOSTS = 1
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -13,22 +13,22 @@
     """Describe a host's next offset to fold and whether it has the record there."""
 
     incarnation: str
-    folded: int
+    next_offset: int
     has_record: bool = False
 
 
-def leaves_it_to(
+def defers_to_peer(
     position: PeerPosition | None, name: str, *, host: str, offset: int
 ) -> bool:
     """Return whether a host must leave the decision to skip the record to a peer."""
     if position is None:
         return False
-    if position.has_record or position.folded > offset:
+    if position.has_record or position.next_offset > offset:
         return True
-    return position.folded == offset and name < host
+    return position.next_offset == offset and name < host
 
 
-def may_go_on(
+def may_skip_record(
     *,
     host: str,
     offset: int,
@@ -55,9 +55,9 @@
     for name, position in positions.items():
         if position is None:
             return False
-        if leaves_it_to(position, name, host=host, offset=offset):
+        if defers_to_peer(position, name, host=host, offset=offset):
             return False
         n_replaced += incarnations.get(name, position.incarnation) != (
             position.incarnation
         )
-    return n_replaced <= MAX_REPLACED
+    return n_replaced <= MAX_REPLACED_HOSTS
--- a/trefoilstage/components/log_client/stream.py
+++ b/trefoilstage/components/log_client/stream.py
@@ -121,7 +121,7 @@
         if isinstance(verdict, Rejected):
             return verdict
         offset = self.fold.next_offset
-        while not await self._source.is_shared(self.name, offset):
+        while not await self._source.is_folded_by_peer(self.name, offset):
             await asyncio.sleep(SHARED_POLL_S)
         return verdict
 
@@ -152,7 +152,7 @@
                 self._set_unreachable(str(error))
                 await asyncio.sleep(self._backoff.next_delay())
                 continue
-            if page.stale:
+            if page.is_stale:
                 self._set_unreachable("no reachable peer has access to the log")
             else:
                 self._set_reachable(requested_at)
@@ -207,7 +207,7 @@
         packed = await self._source.fetch_state(self.name)
         if packed is not None and self._restore(packed):
             return True
-        page = await self._source.search(self.name, self.fold.next_offset)
+        page = await self._source.find_dropped_records(self.name, self.fold.next_offset)
         if page is not None:
             self._seek = None
             await self._fold_page(page)
@@ -223,7 +223,7 @@
         now = asyncio.get_running_loop().time()
         if self._lost_at is None or now < self._lost_at:
             return False
-        if not await self._source.is_lost(self.name, offset):
+        if not await self._source.may_skip_record(self.name, offset):
             self._lost_at = now + LOST_AFTER_S
             return False
         log_event(Event.RECORD_LOST, stream=self.name, offset=offset)
--- a/trefoilstage/components/log_client/streams.py
+++ b/trefoilstage/components/log_client/streams.py
@@ -62,11 +62,11 @@
                 interval_records=self._checkpoint_every,
                 interval_s=self._checkpoint_interval_s,
             ),
-            rank_writer=self.rank_writer,
+            rank_writer=self.get_own_rank,
             generator=self._generator,
         )
 
-    def rank_writer(self, key: str) -> int:
+    def get_own_rank(self, key: str) -> int:
         """Return this host's rank among the live hosts for the task named by a key."""
         ranked = rank_by_rendezvous(key, self._blackboard.list_presumed_hosts())
         return ranked.index(self._blackboard.host)
@@ -95,7 +95,7 @@
         """Call a listener for each ledger stream that is started."""
         self._ledger_listeners.append(listener)
 
-    def pick_number(self, account: str) -> int:
+    def get_ledger_number(self, account: str) -> int:
         """Return the number of the ledger stream of an account."""
         n_streams = self._blackboard.configuration.fleet.ledger_streams
         return hash_to_bucket(account, n_streams)
--- a/trefoilstage/components/membership/controller.py
+++ b/trefoilstage/components/membership/controller.py
@@ -141,7 +141,7 @@
         # of the few hosts that do may report it, since a second report is harmless.
         if len(self._blackboard.config.hosts) > MAX_FULL_MESH + 1:
             return True
-        return self._streams.rank_writer(entry.incarnation) == 0
+        return self._streams.get_own_rank(entry.incarnation) == 0
 
     def _is_listed(self, name: str) -> bool:
         return name in self._blackboard.listed
--- a/trefoilstage/components/operators/server.py
+++ b/trefoilstage/components/operators/server.py
@@ -33,7 +33,7 @@
     describe_status,
     describe_targets,
 )
-from trefoilstage.configuration.fold import NEW_FILE
+from trefoilstage.configuration.fold import NEW_FILE_REVISION
 from trefoilstage.configuration.records import Publish, Remove
 from trefoilstage.const import BUDGET_ACCOUNT_PREFIX
 from trefoilstage.helpers.dump import StateRegistry, dump_value
@@ -165,12 +165,12 @@
         if requested_revision is not None:
             return requested_revision
         current_file = self._blackboard.config.files.get(name)
-        return current_file.revision if current_file else NEW_FILE
+        return current_file.revision if current_file else NEW_FILE_REVISION
 
     async def _top_up_budget(self, request: web.Request) -> web.Response:
         body = await parse_body(request, TopUpBody)
         account = f"{BUDGET_ACCOUNT_PREFIX}{request.match_info['name']}"
-        stream_number = self._streams.pick_number(account)
+        stream_number = self._streams.get_ledger_number(account)
         if stream_number not in self._streams.ledgers:
             answer = VerdictAnswer(
                 accepted=False, reason=Reason.NOT_READY, operation=body.operation
--- a/trefoilstage/components/peers/positions.py
+++ b/trefoilstage/components/peers/positions.py
@@ -1,9 +1,9 @@
 """Ask all hosts how far they have folded a stream."""
 
-from trefoilstage.components.log_client.loss import (
+from trefoilstage.components.log_client.skip_decision import (
     PeerPosition,
-    leaves_it_to,
-    may_go_on,
+    defers_to_peer,
+    may_skip_record,
 )
 from trefoilstage.components.peers.log_peers import LogPeers
 from trefoilstage.components.peers.messages import ReadRecords, RecordsReply
@@ -14,7 +14,7 @@
 MAX_NAMES_LOGGED = 5
 
 
-async def may_skip_record(
+async def may_skip_offset(
     peers: LogPeers, stream: str, offset: int, *, fence: bool = False
 ) -> bool:
     """Return whether this host may skip the record at an offset.
@@ -33,7 +33,7 @@
         positions[name] = position
         # Every host but the first by name returns here after a few calls, also in a
         # fleet of 410 hosts.
-        if leaves_it_to(position, name, host=peers.host, offset=offset):
+        if defers_to_peer(position, name, host=peers.host, offset=offset):
             return False
     unresponsive = [name for name, position in positions.items() if position is None]
     if unresponsive:
@@ -43,7 +43,7 @@
             offset=offset,
             unanswered=",".join(unresponsive[:MAX_NAMES_LOGGED]),
         )
-    return may_go_on(
+    return may_skip_record(
         host=peers.host,
         offset=offset,
         positions=positions,
@@ -74,6 +74,6 @@
         return None
     return PeerPosition(
         incarnation=reply.incarnation,
-        folded=reply.folded,
+        next_offset=reply.folded,
         has_record=bool(reply.records),
     )
--- a/trefoilstage/components/peers/relay.py
+++ b/trefoilstage/components/peers/relay.py
@@ -15,8 +15,8 @@
 from trefoilstage.blackboard import Blackboard
 from trefoilstage.components.log_client.checkpoints import PackedState
 from trefoilstage.components.log_client.client import LogClient, LogPage, LogRecord
-from trefoilstage.components.log_client.kept import KeptRecords
-from trefoilstage.components.log_client.reach import LogReach
+from trefoilstage.components.log_client.reachability import LogReachability
+from trefoilstage.components.log_client.record_cache import RecordCache
 from trefoilstage.components.peers.links import PeerLinks
 from trefoilstage.components.peers.log_peers import LogPeers
 from trefoilstage.components.peers.messages import (
@@ -26,7 +26,7 @@
     ReadRecords,
     RecordsReply,
 )
-from trefoilstage.components.peers.positions import may_skip_record
+from trefoilstage.components.peers.positions import may_skip_offset
 from trefoilstage.components.peers.server import PeerServer
 from trefoilstage.components.peers.state_transfer import fetch_state
 from trefoilstage.exceptions import (
@@ -63,13 +63,13 @@
         self._client = client
         self._blackboard = blackboard
         self._peers = LogPeers(blackboard=blackboard, links=links)
-        self._reach = LogReach(timeout_base_s=timeout_s)
+        self._reach = LogReachability(base_timeout_s=timeout_s)
         self._backoff = Backoff(
             initial_s=PROBE_INITIAL_DELAY_S,
             maximum_s=PROBE_MAX_DELAY_S,
             generator=generator,
         )
-        self._kept = KeptRecords()
+        self._kept = RecordCache()
         self._lost = asyncio.Event()
         self._probed = ""
         server.register(ReadRecords, self._answer_read)
@@ -84,7 +84,7 @@
 
         Return its first offset. Raise LogUnavailableError if neither succeeds.
         """
-        if self._reach.up:
+        if self._reach.is_up:
             try:
                 return await self._append_direct(stream, records)
             except LogUnavailableError:
@@ -105,12 +105,12 @@
         page = await self._read(stream, offset, wait_s)
         # The offset may have been fenced while the read was in progress.
         if self._kept.is_fenced(stream, offset):
-            earliest = self._kept.find_first_beyond(stream)
+            earliest = self._kept.get_first_unfenced_offset(stream)
             raise RecordsExpiredError(earliest=earliest)
         return page
 
     async def _read(self, stream: str, offset: int, wait_s: float) -> LogPage:
-        if self._reach.up:
+        if self._reach.is_up:
             try:
                 return await self._read_direct(stream, offset, wait_s)
             except LogUnavailableError:
@@ -127,17 +127,17 @@
         self, stream: str, offset: int, error: RecordsExpiredError
     ) -> LogPage:
         """Return records that the log dropped, from a host that has them."""
-        page = await self.search(stream, offset)
+        page = await self.find_dropped_records(stream, offset)
         if page is None:
             raise error
         return page
 
-    async def search(self, stream: str, offset: int) -> LogPage | None:
+    async def find_dropped_records(self, stream: str, offset: int) -> LogPage | None:
         """Return records that the log dropped, from a host that appended or read them.
 
         Return None if no such host was found in this search.
         """
-        page = self._kept.find(stream, offset)
+        page = self._kept.find_records(stream, offset)
         if page is None:
             page = await self._search_peers(stream, offset)
         if page is None or self._kept.is_fenced(stream, offset):
@@ -156,18 +156,18 @@
                 return make_page(reply)
         return None
 
-    async def is_lost(self, stream: str, offset: int) -> bool:
+    async def may_skip_record(self, stream: str, offset: int) -> bool:
         """Return whether this host may skip the record at an offset.
 
         Every host has to reply that it lacks the record, and then fence its offset.
         """
-        if not self._reach.up:
+        if not self._reach.is_up:
             return False
-        if not await may_skip_record(self._peers, stream, offset):
+        if not await may_skip_offset(self._peers, stream, offset):
             return False
         if not self._fence(stream, offset):
             return False
-        return await may_skip_record(self._peers, stream, offset, fence=True)
+        return await may_skip_offset(self._peers, stream, offset, fence=True)
 
     def _fence(self, stream: str, offset: int) -> bool:
         """Fence an offset and return whether it is fenced.
@@ -180,7 +180,7 @@
             return False
         return self._kept.fence(stream, offset)
 
-    async def is_shared(self, stream: str, offset: int) -> bool:
+    async def is_folded_by_peer(self, stream: str, offset: int) -> bool:
         """Return whether another host has folded up to an offset, or none is live."""
         names = self._peers.list_preferred()
         message = ReadRecords(stream=stream, offset=offset)
@@ -198,7 +198,7 @@
         first = await self._client.append(
             stream, records, timeout_s=self._reach.timeout_s
         )
-        self._record_answer(asyncio.get_running_loop().time() - started)
+        self._record_response(asyncio.get_running_loop().time() - started)
         self._kept.add_appended(stream, first, records)
         return first
 
@@ -208,17 +208,17 @@
             stream, offset, wait_s=wait_s, timeout_s=self._reach.timeout_s
         )
         duration_s = asyncio.get_running_loop().time() - started
-        self._record_answer(max(0.0, duration_s - wait_s))
+        self._record_response(max(0.0, duration_s - wait_s))
         self._kept.add_read(stream, page)
         return page
 
-    def _record_answer(self, duration_s: float) -> None:
-        if self._reach.note_answer(duration_s):
+    def _record_response(self, duration_s: float) -> None:
+        if self._reach.record_response(duration_s):
             log_event(Event.LOG_IN_REACH, host=self._blackboard.host)
         self._blackboard.log_in_reach = True
 
     def _record_failure(self, stream: str) -> None:
-        if self._reach.note_failure():
+        if self._reach.record_failure():
             log_event(Event.LOG_OUT_OF_REACH, host=self._blackboard.host)
         self._blackboard.log_in_reach = False
         self._probed = stream
@@ -230,13 +230,13 @@
         while True:
             await self._lost.wait()
             await asyncio.sleep(self._backoff.next_delay())
-            offset = self._kept.get_next(self._probed)
+            offset = self._kept.get_next_offset(self._probed)
             try:
                 await self._read_direct(self._probed, offset, 0.0)
             except RecordsExpiredError:
-                self._record_answer(0.0)
+                self._record_response(0.0)
             except LogUnavailableError:
-                self._reach.lengthen_timeout()
+                self._reach.double_timeout()
                 continue
             self._backoff.reset()
             self._lost.clear()
@@ -275,15 +275,15 @@
     def _answer_fence(self, message: ReadRecords) -> RecordsReply:
         if self._fence(message.stream, message.offset):
             return RecordsReply(fenced=True)
-        page = self._kept.find(message.stream, message.offset)
+        page = self._kept.find_records(message.stream, message.offset)
         return make_reply(page, fresh=True) if page else RecordsReply()
 
     async def _find_records(self, message: ReadRecords) -> RecordsReply:
-        page = self._kept.find(message.stream, message.offset)
-        page = page or self._kept.find_end(message.stream, message.offset)
+        page = self._kept.find_records(message.stream, message.offset)
+        page = page or self._kept.find_read_records(message.stream, message.offset)
         if page is not None:
-            return make_reply(page, fresh=self._reach.up)
-        if not self._reach.up:
+            return make_reply(page, fresh=self._reach.is_up)
+        if not self._reach.is_up:
             return self._answer_without_log(message)
         try:
             page = await self._client.read(
@@ -305,7 +305,7 @@
         return RecordsReply(next_offset=tail.next_offset, fresh=False)
 
     async def _answer_append(self, message: AppendRecords) -> PeerMessage:
-        if not self._reach.up:
+        if not self._reach.is_up:
             raise NotReadyError("the log is out of reach")
         first = await self._client.append(
             message.stream, list(message.records), timeout_s=self._reach.timeout_s
@@ -320,7 +320,7 @@
     return LogPage(
         records=tuple(list_records(reply)),
         next_offset=reply.next_offset,
-        stale=not reply.fresh and not reply.records,
+        is_stale=not reply.fresh and not reply.records,
     )
 
 
--- a/trefoilstage/components/power/controller.py
+++ b/trefoilstage/components/power/controller.py
@@ -196,12 +196,12 @@
         return self._count_free(account) < 0
 
     def _count_free(self, account: str) -> int:
-        ledger_number = self._streams.pick_number(account)
+        ledger_number = self._streams.get_ledger_number(account)
         state = self._blackboard.ledgers[ledger_number].accounts.get(account)
         return 0 if state is None else state.free
 
     def _find_draw(self, reservation: Reservation) -> DrawState | None:
-        ledger_number = self._streams.pick_number(reservation.account)
+        ledger_number = self._streams.get_ledger_number(reservation.account)
         return self._blackboard.ledgers[ledger_number].draws.get(reservation.draw)
 
     async def _scan(self) -> None:
--- a/trefoilstage/configuration/fold.py
+++ b/trefoilstage/configuration/fold.py
@@ -26,7 +26,7 @@
 MAX_HISTORY = 200
 MAX_FINDINGS = 20
 MAX_FINDING_CHARS = 300
-NEW_FILE = -1
+NEW_FILE_REVISION = -1
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -235,7 +235,7 @@
 ) -> Configuration | Rejected:
     """Return the configuration that results from a change, or its rejection."""
     current = state.files.get(record.name)
-    revision = current.revision if current else NEW_FILE
+    revision = current.revision if current else NEW_FILE_REVISION
     # Two operators may edit the same file at the same time. Without the check of
     # the base revision the later change would silently overwrite the earlier one;
     # with it, the later operator receives a conflict and can review the file.
--- a/trefoilstage/ledger/fold.py
+++ b/trefoilstage/ledger/fold.py
@@ -45,7 +45,9 @@
 MAX_SEQUENCES = 20_000
 
 
-def fold_envelope(state: LedgerState, offset: int, envelope: LedgerEnvelope) -> Verdict:
+def fold_ledger_envelope(
+    state: LedgerState, offset: int, envelope: LedgerEnvelope
+) -> Verdict:
     """Apply the record at an offset and return whether it was accepted."""
     if offset < state.next_offset:
         return Rejected(reason=Reason.DUPLICATE)
