--- a/bench/emulator/host.py
+++ b/bench/emulator/host.py
@@ -8,8 +8,8 @@
 
 from bench.emulator.network import EmulatedLinks, Network, SharedStore, StoreDoor
 from bench.emulator.sender import EmulatedProbe, EmulatedSender
+from trefoilstage.components.fleet.board_updater import BoardUpdater
 from trefoilstage.components.fleet.messages import FLEET_CODEC
-from trefoilstage.components.fleet.watcher import BoardWatcher
 from trefoilstage.components.forwarding.models import (
     CallerRequest,
     FleetConfiguration,
@@ -106,7 +106,7 @@
             settings=settings,
             board=board,
             store=door,
-            watcher=BoardWatcher(
+            board_updater=BoardUpdater(
                 board=board,
                 configuration_key=CONFIGURATION_KEY,
                 decode_configuration=self._registry.configurations.__getitem__,
@@ -133,10 +133,10 @@
             await asyncio.sleep(READY_POLL_S)
         loop = asyncio.get_running_loop()
         met_by = loop.time() + MEET_S
-        while not parts.membership.has_met_all() and loop.time() < met_by:
+        while not parts.membership.has_heard_all_hosts() and loop.time() < met_by:
             await asyncio.sleep(READY_POLL_S)
         board.phase = Phase.SERVING
-        parts.membership.beat_soon()
+        parts.membership.send_heartbeats_now()
 
     async def kill(self, *, power: bool) -> None:
         """End the process at once; without power its steady clock begins anew."""
--- a/bench/emulator/network.py
+++ b/bench/emulator/network.py
@@ -126,7 +126,7 @@
             raise PeerUnavailableError(reply.detail)
         return reply
 
-    async def tell(self, message: Any, *, timeout_s: float) -> None:
+    async def send(self, message: Any, *, timeout_s: float) -> None:
         """Send a message that gets no reply."""
         await self._travel(message)
 
--- a/tests/components/crashes/test_recorder.py
+++ b/tests/components/crashes/test_recorder.py
@@ -34,7 +34,7 @@
     url: str
     links: Links
 
-    async def tell(self, report: CrashReport, *, timeout_s: float) -> None:
+    async def send(self, report: CrashReport, *, timeout_s: float) -> None:
         self.links.sent.append((self.url, report))
 
 
--- a/tests/components/escrow/common.py
+++ b/tests/components/escrow/common.py
@@ -97,7 +97,7 @@
             timer=self.timer,
             grants=grants,
             ask_seal=self.ask_seal,
-            confirm=self.confirmed.append,
+            confirm_incarnation=self.confirmed.append,
         )
         lock = ReserveLock()
         home = EscrowHome(
--- a/tests/components/escrow/test_failed_homes.py
+++ b/tests/components/escrow/test_failed_homes.py
@@ -22,7 +22,7 @@
         board = make_board("host-0", [f"host-{number}" for number in range(5)])
         board.configuration = make_configuration(1_000)
         for _ in range(N_CALLS):
-            board.round_trips.note_answer(round_trip_s, 0.0)
+            board.round_trips.record_reply(round_trip_s, 0.0)
         links = mock.Mock()
         links.get_link.return_value.call = mock.AsyncMock(
             side_effect=PeerUnavailableError("no answer")
--- a/tests/components/fleet/test_watcher.py
+++ b/tests/components/fleet/test_board_updater.py
@@ -4,7 +4,7 @@
 from unittest import mock
 
 from tests.components.boards import make_board
-from trefoilstage.components.fleet.watcher import BoardWatcher
+from trefoilstage.components.fleet.board_updater import BoardUpdater
 from trefoilstage.components.forwarding.models import TargetEntry, TargetPhase
 from trefoilstage.components.views.keyed_view import KeyedRecord
 from trefoilstage.components.views.store import Topic
@@ -31,19 +31,19 @@
 class LapsedEntriesTest(unittest.TestCase):
     """Test the end of a store outage in which all targets' entries expired."""
 
-    def start_in_outage(self, phase: TargetPhase) -> tuple[FleetBoard, BoardWatcher]:
-        """Return the board and watcher of a host that knows a target, in an outage."""
+    def start_in_outage(self, phase: TargetPhase) -> tuple[FleetBoard, BoardUpdater]:
+        """Return the board and updater of a host that knows a target, in an outage."""
         board = make_board("host-0", ["host-1"])
-        watcher = BoardWatcher(
+        updater = BoardUpdater(
             board=board,
             configuration_key="config",
             decode_configuration=mock.Mock(),
             decode_target=decode_target,
         )
         entry = KeyedRecord(key="i-1", offset=3, value=phase.value.encode())
-        watcher.take(Topic.TARGETS, [entry], now=10.0)
+        updater.apply_records(Topic.TARGETS, [entry], now=10.0)
         board.store.out_of_reach = True
-        return board, watcher
+        return board, updater
 
     def list_ready(self, board: FleetBoard, now: float) -> list[str]:
         """Return the names of the targets that get new work."""
@@ -58,16 +58,16 @@
         dropped all targets and refused every request until they registered again 2 s
         later.
         """
-        board, watcher = self.start_in_outage(TargetPhase.READY)
+        board, updater = self.start_in_outage(TargetPhase.READY)
         dropped = KeyedRecord(key="i-1", offset=9, value=None)
-        watcher.take(Topic.TARGETS, [dropped], now=20.0)
+        updater.apply_records(Topic.TARGETS, [dropped], now=20.0)
         self.assertEqual(self.list_ready(board, 21.0), ["i-1"])
         self.assertEqual(self.list_ready(board, 23.0), [])
 
     def test_draining_target_with_an_expired_entry_is_not_used(self) -> None:
-        board, watcher = self.start_in_outage(TargetPhase.DRAINING)
+        board, updater = self.start_in_outage(TargetPhase.DRAINING)
         dropped = KeyedRecord(key="i-1", offset=9, value=None)
-        watcher.take(Topic.TARGETS, [dropped], now=20.0)
+        updater.apply_records(Topic.TARGETS, [dropped], now=20.0)
         self.assertEqual(self.list_ready(board, 20.0), [])
 
 
--- a/tests/components/fleet/test_large_fleet.py
+++ b/tests/components/fleet/test_large_fleet.py
@@ -63,7 +63,7 @@
         """Read another host's record from the store."""
         record = HostRecord(incarnation=incarnation, peer_url=name, data_center="brest")
         value = record.model_dump_json().encode()
-        self.membership.take_records(
+        self.membership.apply_records(
             [KeyedRecord(key=name, offset=offset, value=value)]
         )
 
@@ -225,8 +225,8 @@
         link.call = mock.AsyncMock(
             return_value=make_heartbeat_of("host-7", "seven-2", 9)
         )
-        host.membership.confirm("host-7")
-        host.membership.confirm("host-7")
+        host.membership.confirm_incarnation("host-7")
+        host.membership.confirm_incarnation("host-7")
         futures = host.membership._futures  # type: ignore[attr-defined]
         await asyncio.gather(*futures)
         self.assertEqual(host.board.peers["host-7"].incarnation, "seven-2")
--- a/tests/components/forwarding/test_full_link.py
+++ b/tests/components/forwarding/test_full_link.py
@@ -48,7 +48,7 @@
     def receive_replies(self, now: float) -> None:
         """Record the round trips of replies that have arrived."""
         for started_at, ended_at in [call for call in self.calls if call[1] <= now]:
-            self.board.round_trips.note_answer(ended_at - started_at, ended_at)
+            self.board.round_trips.record_reply(ended_at - started_at, ended_at)
             self.calls.remove((started_at, ended_at))
 
     def serve(self, now: float) -> float:
@@ -97,7 +97,7 @@
         """Record round trips with the given times, and heartbeats of all peers."""
         self.record_heartbeats(board)
         for number in range(N_CALLS):
-            board.round_trips.note_answer(seconds[number % len(seconds)], 10.0)
+            board.round_trips.record_reply(seconds[number % len(seconds)], 10.0)
 
     def record_heartbeats(self, board: FleetBoard) -> None:
         """Record a heartbeat of each peer."""
@@ -122,8 +122,8 @@
     def test_host_with_few_recent_calls_stays_ready(self) -> None:
         """Have only two slow calls, then only calls made long ago."""
         board = make_board("host-0", ["host-1", "host-2", "host-3", "host-4"])
-        board.round_trips.note_answer(0.4, 10.0)
-        board.round_trips.note_answer(0.4, 10.0)
+        board.round_trips.record_reply(0.4, 10.0)
+        board.round_trips.record_reply(0.4, 10.0)
         self.assertFalse(board.sends_elsewhere(10.0))
         self.record_round_trips(board, 0.4)
         self.assertFalse(board.sends_elsewhere(13.0))
@@ -137,28 +137,28 @@
         board = make_board("host-0", ["host-1", "host-2", "host-3", "host-4"])
         self.record_heartbeats(board)
         for _ in range(N_CALLS):
-            board.round_trips.note_timeout(0.9, 10.0)
+            board.round_trips.record_timeout(0.9, 10.0)
         self.assertTrue(board.sends_elsewhere(10.0))
-        self.assertEqual(board.round_trips.estimate_answer(10.0), 0.0)
+        self.assertEqual(board.round_trips.estimate_reply_s(10.0), 0.0)
 
     def test_last_live_host_keeps_its_callers(self) -> None:
         """Lose all other hosts to a power failure; every call times out."""
         board = make_board("host-0", ["host-1", "host-2", "host-3", "host-4"])
         for _ in range(N_CALLS):
-            board.round_trips.note_timeout(0.9, 10.0)
+            board.round_trips.record_timeout(0.9, 10.0)
         self.assertFalse(board.sends_elsewhere(10.0))
 
     def test_short_timeouts_are_ignored(self) -> None:
         board = make_board("host-0", ["host-1", "host-2", "host-3", "host-4"])
         for _ in range(N_CALLS):
-            board.round_trips.note_timeout(0.05, 10.0)
-        self.assertEqual(board.round_trips.estimate(10.0), 0.0)
+            board.round_trips.record_timeout(0.05, 10.0)
+        self.assertEqual(board.round_trips.estimate_call_s(10.0), 0.0)
 
     def test_estimate_is_the_fastest_call(self) -> None:
         trips = RoundTrips()
         for seconds in (0.9, 0.9, 0.002, 0.9):
-            trips.note_answer(seconds, 1.0)
-        self.assertEqual(trips.estimate(1.0), 0.002)
+            trips.record_reply(seconds, 1.0)
+        self.assertEqual(trips.estimate_call_s(1.0), 0.002)
 
 
 if __name__ == "__main__":
--- a/tests/components/forwarding/test_server.py
+++ b/tests/components/forwarding/test_server.py
@@ -29,7 +29,7 @@
         for peer in self.board.peers.values():
             peer.last_heard = now
         for _ in range(N_CALLS):
-            self.board.round_trips.note_answer(seconds, now)
+            self.board.round_trips.record_reply(seconds, now)
         return now
 
     async def check_ready(self) -> int:
--- a/tests/components/forwarding/test_workload.py
+++ b/tests/components/forwarding/test_workload.py
@@ -114,7 +114,7 @@
         board = make_board("host-0", [f"host-{number}" for number in range(20)])
         timer = ManualTimer()
         for _ in range(N_CALLS):
-            board.round_trips.note_answer(trip_s, timer.now())
+            board.round_trips.record_reply(trip_s, timer.now())
         link = mock.Mock()
         link.call = mock.AsyncMock(side_effect=PeerUnavailableError("gone"))
         links = mock.Mock()
@@ -148,7 +148,7 @@
         workload = network.workloads["host-0"]
         board = workload._board
         for _ in range(N_CALLS):
-            board.round_trips.note_answer(trip_s, 0.0)
+            board.round_trips.record_reply(trip_s, 0.0)
         chooser = TargetChooser(
             board=board,
             membership=mock.Mock(),
@@ -211,7 +211,7 @@
         self.network = network
         self.name = name
 
-    async def tell(self, message: WorkReport, *, timeout_s: float) -> None:
+    async def send(self, message: WorkReport, *, timeout_s: float) -> None:
         """Deliver a report."""
         self.network.n_reports += 1
         await self.network.workloads[self.name]._receive_report(message)
--- a/tests/components/log_faults.py
+++ b/tests/components/log_faults.py
@@ -9,7 +9,7 @@
 from mode import Service
 
 from tests.components.faulty_log import CALL_DELAY_S, Faults, FaultyLog, FaultyLogClient
-from tests.components.relays import HandlerTable
+from tests.components.relays import FakePeer
 from trefoilstage.blackboard import Blackboard, ListedHost, PeerStatus, StreamStatus
 from trefoilstage.components.log_client.checkpoints import (
     CheckpointSchedule,
@@ -45,7 +45,7 @@
         self.faults = Faults()
         self.is_dead = False
         self.verdict_tasks: list[asyncio.Task[Verdict]] = []
-        self.handlers = HandlerTable()
+        self.server = FakePeer()
         self.incarnation = f"{name}-{number}"
         self.board = Blackboard(
             host=name, incarnation=self.incarnation, data_center="brest"
@@ -62,7 +62,7 @@
             ),
             blackboard=self.board,
             links=Links(cluster=cluster, host=self),  # type: ignore[arg-type]
-            server=self.handlers,  # type: ignore[arg-type]
+            server=self.server,  # type: ignore[arg-type]
             timeout_s=cluster.log_timeout_s,
             generator=generator,
         )
@@ -80,7 +80,7 @@
             rank_writer=lambda _: cluster.names.index(name),
             generator=generator,
         )
-        SnapshotServer(server=self.handlers, pack=self.pack)  # type: ignore[arg-type]
+        SnapshotServer(server=self.server, pack=self.pack)  # type: ignore[arg-type]
 
     async def pack(self, name: str) -> PackedState | None:
         """Return the stream's packed state, or None before it is caught up."""
@@ -148,7 +148,7 @@
         try:
             async with asyncio.timeout(timeout_s):
                 peer = await self._reach()
-                reply = await peer.handlers.call(message, timeout_s=timeout_s)
+                reply = await peer.server.call(message, timeout_s=timeout_s)
                 if await self._reach() is not peer:
                     raise PeerUnavailableError("replaced")
                 return reply
--- a/tests/components/peers/test_link.py
+++ b/tests/components/peers/test_link.py
@@ -39,7 +39,7 @@
         link._connection = connection
         report = WorkReport(host="host-0", work={})
         with self.assertRaises(PeerUnavailableError):
-            await link.tell(report, timeout_s=1.0)
+            await link.send(report, timeout_s=1.0)
         with self.assertRaises(PeerUnavailableError):
             await link.call(report, timeout_s=1.0)
 
@@ -48,7 +48,7 @@
         now = asyncio.get_running_loop().time()
         trips = RoundTrips()
         for _ in range(N_CALLS):
-            trips.note_answer(other_reply_s, now)
+            trips.record_reply(other_reply_s, now)
         link = make_link(trips)
         link._connection = connection = mock.AsyncMock()
         connection.transport = mock.Mock()
--- a/tests/components/relays.py
+++ b/tests/components/relays.py
@@ -57,20 +57,20 @@
         self.log = ShortLog()
         self.cut_hosts: set[str] = set()
         # While set, no host gets a reply from the log to a read.
-        self.cut_reads = False
+        self.reads_hang = False
         # The number of next appends that take effect but get no reply.
-        self.lose_answers = 0
+        self.n_replies_to_drop = 0
         self.boards: dict[str, Blackboard] = {}
-        self.handlers: dict[str, HandlerTable] = {}
+        self.peers: dict[str, FakePeer] = {}
         self.relays: dict[str, RelayedLog] = {}
         for name in names:
-            self.handlers[name] = HandlerTable()
+            self.peers[name] = FakePeer()
             self.boards[name] = self.make_board(name, names)
             self.relays[name] = RelayedLog(
                 client=HostLog(fleet=self, host=name),  # type: ignore[arg-type]
                 blackboard=self.boards[name],
                 links=self,  # type: ignore[arg-type]
-                server=self.handlers[name],  # type: ignore[arg-type]
+                server=self.peers[name],  # type: ignore[arg-type]
                 timeout_s=1.0,
                 generator=random.Random(1),
             )
@@ -89,7 +89,7 @@
     def stop_replies(self, *names: str) -> None:
         """Stop hosts from replying to calls."""
         for name in names:
-            self.handlers[name].silent = True
+            self.peers[name].is_unresponsive = True
 
     async def read(self, name: str, offset: int) -> list[bytes]:
         """Return the records that a host reads from an offset on."""
@@ -101,17 +101,17 @@
         for name in self.relays:
             await self.read(name, offset)
 
-    def get_link(self, url: str) -> "HandlerTable":
+    def get_link(self, url: str) -> "FakePeer":
         """Return the link to a peer."""
-        return self.handlers[url]
+        return self.peers[url]
 
 
-class HandlerTable:
+class FakePeer:
     """Stand in for a peer's server and for the link to it."""
 
     def __init__(self) -> None:
         self._handlers: dict[type, Handler] = {}
-        self.silent = False
+        self.is_unresponsive = False
 
     def register(self, kind: type, handler: Handler) -> None:
         """Register the handler for messages of a type."""
@@ -119,7 +119,7 @@
 
     async def call(self, message: PeerMessage, *, timeout_s: float) -> PeerMessage:
         """Return the handler's reply, or raise PeerUnavailableError."""
-        if self.silent or type(message) not in self._handlers:
+        if self.is_unresponsive or type(message) not in self._handlers:
             raise PeerUnavailableError("no reply")
         try:
             return await self._handlers[type(message)](message)
@@ -144,8 +144,8 @@
         """Append to the log unless cut from it; drop the reply if the fleet says so."""
         self._check()
         first = await self._fleet.log.append(stream, records, timeout_s=timeout_s)
-        if self._fleet.lose_answers > 0:
-            self._fleet.lose_answers -= 1
+        if self._fleet.n_replies_to_drop > 0:
+            self._fleet.n_replies_to_drop -= 1
             raise LogUnavailableError("reply lost")
         return first
 
@@ -157,7 +157,7 @@
         # the event loop.
         await asyncio.sleep(READ_S)
         self._check()
-        while self._fleet.cut_reads:
+        while self._fleet.reads_hang:
             await asyncio.sleep(READ_S)
         log = self._fleet.log
         return await log.read(stream, offset, wait_s=wait_s, timeout_s=timeout_s)
--- a/tests/components/test_lost_records.py
+++ b/tests/components/test_lost_records.py
@@ -46,7 +46,7 @@
             generator=random.Random(name),
         )
         SnapshotServer(
-            server=fleet.handlers[name],  # type: ignore[arg-type]
+            server=fleet.peers[name],  # type: ignore[arg-type]
             pack=self.pack,
         )
 
@@ -87,12 +87,12 @@
             self.assertEqual(await first.submit(make_publish(1)).future, ACCEPTED)
         for member in self.members:
             await wait_until(lambda m=member: m.stream.fold.next_offset == 1, "both")
-        fleet.cut_reads = True
-        fleet.lose_answers = 2
+        fleet.reads_hang = True
+        fleet.n_replies_to_drop = 2
         ticket = first.submit(make_publish(2))
         await wait_until(lambda: len(fleet.log.records) >= 4, "the copies")
         fleet.log.n_kept = n_kept
-        fleet.cut_reads = False
+        fleet.reads_hang = False
         return ticket
 
     async def test_fleet_skips_a_record_that_no_host_has(self) -> None:
@@ -140,14 +140,14 @@
         """
         names = ("a", "b", "c")
         fleet = RelayFleet(names=(*names, "d"))
-        fleet.handlers["d"].silent = True
+        fleet.peers["d"].is_unresponsive = True
         ticket = await self.lose_record(fleet, names)
         await asyncio.sleep(OBSERVED_S)
         self.assertFalse(ticket.future.done())
         for member in self.members:
             self.assertEqual(member.stream.fold.next_offset, 1)
         # Once it replies that it has not read the record either, they skip it.
-        fleet.handlers["d"].silent = False
+        fleet.peers["d"].is_unresponsive = False
         fleet.boards["d"].streams["config"] = StreamStatus(next_offset=1)
         async with asyncio.timeout(TIMEOUT_S):
             self.assertEqual(await ticket.future, ACCEPTED)
--- a/tests/components/test_relay.py
+++ b/tests/components/test_relay.py
@@ -7,7 +7,7 @@
 from tests.components.test_stream import wait_until
 from trefoilstage.blackboard import Blackboard, ListedHost, StreamStatus
 from trefoilstage.components.peers.links import PeerLinks
-from trefoilstage.components.peers.messages import FRAME_CODEC
+from trefoilstage.components.peers.messages import PEER_CODEC
 from trefoilstage.components.peers.relay import RelayedLog
 from trefoilstage.components.peers.server import PeerServer
 from trefoilstage.exceptions import (
@@ -32,8 +32,8 @@
         relay = RelayedLog(
             client=ShortLog(),  # type: ignore[arg-type]
             blackboard=Blackboard(host="h", incarnation="h-1", data_center="brest"),
-            links=PeerLinks(outbound_address="127.0.0.1", codec=FRAME_CODEC),
-            server=PeerServer(address="127.0.0.1", port=0, codec=FRAME_CODEC),
+            links=PeerLinks(outbound_address="127.0.0.1", codec=PEER_CODEC),
+            server=PeerServer(address="127.0.0.1", port=0, codec=PEER_CODEC),
             timeout_s=1.0,
             generator=random.Random(1),
         )
@@ -60,7 +60,7 @@
             client=ShortLog(),  # type: ignore[arg-type]
             blackboard=board,
             links=FailingLinks(board=board),  # type: ignore[arg-type]
-            server=PeerServer(address="127.0.0.1", port=0, codec=FRAME_CODEC),
+            server=PeerServer(address="127.0.0.1", port=0, codec=PEER_CODEC),
             timeout_s=1.0,
             generator=random.Random(1),
         )
--- a/tests/fuzz/test_codecs.py
+++ b/tests/fuzz/test_codecs.py
@@ -31,7 +31,7 @@
 )
 from trefoilstage.components.peers.frames import Frame
 from trefoilstage.components.peers.messages import (
-    FRAME_CODEC,
+    PEER_CODEC,
     Heartbeat,
     PeerMessage,
 )
@@ -278,11 +278,11 @@
         async with connect(url, proxy=None) as connection:
             body = Heartbeat(host="host-1", incarnation="host-1-x")
             frame: Frame[PeerMessage] = Frame(number=1, reply=False, body=body)
-            await connection.send(FRAME_CODEC.encode(frame))
+            await connection.send(PEER_CODEC.encode(frame))
             async with asyncio.timeout(5):
                 reply = await connection.recv()
             assert isinstance(reply, bytes)
-            self.assertIsInstance(FRAME_CODEC.decode(reply).body, Heartbeat)
+            self.assertIsInstance(PEER_CODEC.decode(reply).body, Heartbeat)
 
     async def throw_at_http(self, fleet: Fleet, host: Running) -> None:
         """Post each body to each path; every answer is a client's error."""
@@ -316,7 +316,7 @@
     """Return a fixed set of bad bytes: random, deep, damaged and mistyped."""
     body = Heartbeat(host="h", incarnation="i")
     frame: Frame[PeerMessage] = Frame(number=1, reply=False, body=body)
-    good = FRAME_CODEC.encode(frame)
+    good = PEER_CODEC.encode(frame)
     damaged = [damage(good, position, 0xFF, False) for position in range(len(good))]
     cut = [good[:position] for position in range(0, len(good), 5)]
     deep = [b"\x81" * 100_000, b"\xa1\x61a" * 5_000]
--- a/tests/fuzz/test_target_entries.py
+++ b/tests/fuzz/test_target_entries.py
@@ -8,7 +8,7 @@
 
 from tests.components.boards import make_board
 from tests.platform.test_configuration import ENTRY, encode_entry
-from trefoilstage.components.fleet.watcher import BoardWatcher
+from trefoilstage.components.fleet.board_updater import BoardUpdater
 from trefoilstage.components.forwarding.models import TargetEntry
 from trefoilstage.components.views.keyed_view import KeyedRecord, KeyedView
 from trefoilstage.components.views.store import Topic
@@ -61,7 +61,7 @@
         that they would use besides has every field of an entry.
         """
         board = make_board("host-0", ["host-0"])
-        watcher = BoardWatcher(
+        watcher = BoardUpdater(
             board=board,
             configuration_key=CONFIGURATION_KEY,
             decode_configuration=decode_configuration,
@@ -69,10 +69,10 @@
         )
         view = KeyedView()
         sound = KeyedRecord(key=SOUND, offset=0, value=encode_entry())
-        watcher.take(Topic.TARGETS, view.merge([sound]), 1.0)
+        watcher.apply_records(Topic.TARGETS, view.merge([sound]), 1.0)
         for offset, (key, value) in enumerate(entries, start=1):
             record = decode_content(bytes([len(key)]) + key + value, offset)
-            watcher.take(Topic.TARGETS, view.merge([record]), 1.0)
+            watcher.apply_records(Topic.TARGETS, view.merge([record]), 1.0)
         ready = board.targets.list_ready("x", 1.0)
         self.assertIn(SOUND, [entry.name for entry in ready])
         for entry in ready:
@@ -90,7 +90,7 @@
         It may say that the target leaves. The next proper entry brings it back.
         """
         board = make_board("host-0", ["host-0"])
-        watcher = BoardWatcher(
+        watcher = BoardUpdater(
             board=board,
             configuration_key=CONFIGURATION_KEY,
             decode_configuration=decode_configuration,
@@ -101,7 +101,7 @@
         ):
             value = encode_entry(state=state)
             record = KeyedRecord(key=SOUND, offset=offset, value=value)
-            watcher.take(Topic.TARGETS, [record], 1.0)
+            watcher.apply_records(Topic.TARGETS, [record], 1.0)
             self.assertEqual(len(board.targets.list_ready("x", 1.0)), n_ready)
 
 
--- a/tests/promises/test_membership.py
+++ b/tests/promises/test_membership.py
@@ -9,8 +9,11 @@
 from standins.launcher import Running, wait_for
 from tests.common import Fleet
 from trefoilstage.blackboard import Blackboard
-from trefoilstage.components.membership.controller import list_partners
-from trefoilstage.components.membership.ring import N_SUCCESSORS, pick_watched
+from trefoilstage.components.membership.controller import list_draw_partners
+from trefoilstage.components.membership.peer_selection import (
+    N_WATCHED_BY_RANK,
+    pick_watched,
+)
 from trefoilstage.configuration.fold import HostEntry
 from trefoilstage.ledger.state import DrawState, DrawStatus, LedgerState
 
@@ -29,7 +32,7 @@
     def test_each_host_of_a_large_fleet_watches_few_and_its_partners(self) -> None:
         names = [f"host-{number}" for number in range(410)]
         watched = {name: pick_watched(name, names, ["host-7"]) for name in names}
-        self.assertLessEqual(max(map(len, watched.values())), N_SUCCESSORS + 1)
+        self.assertLessEqual(max(map(len, watched.values())), N_WATCHED_BY_RANK + 1)
         self.assertTrue(all("host-7" in watched[name] for name in names[:7]))
         seen = {name for some in watched.values() for name in some}
         self.assertGreater(len(seen), 405)
@@ -62,7 +65,7 @@
             }
         )
         expected = {"host-1", "host-2", "host-5", "host-6"}
-        self.assertEqual(list_partners(board), expected)
+        self.assertEqual(list_draw_partners(board), expected)
         board.watched = frozenset({"host-1"})
         entries = board.config.hosts
         self.assertTrue(board.is_peer_live(entries["host-9"]), "unwatched")
--- a/trefoilstage/assembly.py
+++ b/trefoilstage/assembly.py
@@ -21,7 +21,7 @@
 from trefoilstage.components.operators.metrics import MetricsController
 from trefoilstage.components.operators.server import OperatorServer
 from trefoilstage.components.peers.links import PeerLinks
-from trefoilstage.components.peers.messages import FRAME_CODEC
+from trefoilstage.components.peers.messages import PEER_CODEC
 from trefoilstage.components.peers.relay import RelayedLog
 from trefoilstage.components.peers.server import PeerServer
 from trefoilstage.components.peers.snapshots import SnapshotServer
@@ -98,11 +98,9 @@
     session = make_session(settings, once=False)
     at_most_once_session = make_session(settings, once=True)
     timer = TimerService()
-    links = PeerLinks(
-        outbound_address=get_outbound_address(settings), codec=FRAME_CODEC
-    )
+    links = PeerLinks(outbound_address=get_outbound_address(settings), codec=PEER_CODEC)
     server = PeerServer(
-        address=settings.address, port=settings.peer_port, codec=FRAME_CODEC
+        address=settings.address, port=settings.peer_port, codec=PEER_CODEC
     )
     log = make_log_parts(
         settings=settings,
--- a/trefoilstage/components/crashes/recorder.py
+++ b/trefoilstage/components/crashes/recorder.py
@@ -139,7 +139,7 @@
     async def _send_report(self, peer: PeerState, report: CrashReport) -> None:
         link = self._links.get_link(peer.peer_url)
         try:
-            await link.tell(report, timeout_s=REPORT_TIMEOUT_S)
+            await link.send(report, timeout_s=REPORT_TIMEOUT_S)
         except PeerUnavailableError as error:
             log_event(
                 Event.CRASH_REPORT_UNSENT,
--- a/trefoilstage/components/escrow/client.py
+++ b/trefoilstage/components/escrow/client.py
@@ -256,7 +256,7 @@
         if reply.refused is None and reply.incarnation != peer.incarnation:
             # A new incarnation replied. Its hold is released with it.
             self._unsettled[home, reply.incarnation].append(release)
-            self._membership.confirm(home)
+            self._membership.confirm_incarnation(home)
             return UNCONFIRMED
         if reply.refused is None:
             return None
--- a/trefoilstage/components/escrow/recovery.py
+++ b/trefoilstage/components/escrow/recovery.py
@@ -18,7 +18,7 @@
 REQUESTER_TIMEOUT_S = 3.0
 
 AskSeal = Callable[[str, SealHome], Awaitable[SealReply | None]]
-Confirm = Callable[[str], None]
+ConfirmIncarnation = Callable[[str], None]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -38,13 +38,13 @@
         timer: TimerService,
         grants: GrantRegistry,
         ask_seal: AskSeal,
-        confirm: Confirm,
+        confirm_incarnation: ConfirmIncarnation,
     ) -> None:
         self._board = board
         self._timer = timer
         self._grants = grants
         self._ask_seal = ask_seal
-        self._confirm = confirm
+        self._confirm_incarnation = confirm_incarnation
         self._grants_to_self = False
         self._first_seen: dict[str, float] = {}  # by incarnation in a record
 
@@ -84,7 +84,7 @@
         if peer is None or peer.incarnation == incarnation:
             return False
         if peer.confirmed_at < first_seen:
-            self._confirm(host)
+            self._confirm_incarnation(host)
             return False
         return True
 
--- a/trefoilstage/components/fleet/watcher.py
+++ b/trefoilstage/components/fleet/board_updater.py
@@ -14,7 +14,7 @@
 DecodeTarget = Callable[[str, bytes], TargetEntry]
 
 
-class BoardWatcher:
+class BoardUpdater:
     """Decode records of the store and update the board."""
 
     def __init__(
@@ -30,7 +30,9 @@
         self._decode_configuration = decode_configuration
         self._decode_target = decode_target
 
-    def take(self, topic: Topic, records: list[KeyedRecord], now: float) -> None:
+    def apply_records(
+        self, topic: Topic, records: list[KeyedRecord], now: float
+    ) -> None:
         """Apply the records of a topic."""
         for record in records:
             try:
--- a/trefoilstage/components/fleet/known_hosts.py
+++ b/trefoilstage/components/fleet/known_hosts.py
@@ -53,7 +53,7 @@
         """Return the names of the live hosts that serve, this one included."""
         return self._board.list_live_hosts(now, self.lost_after_s)
 
-    def has_met_all(self) -> bool:
+    def has_heard_all_hosts(self) -> bool:
         """Return whether every host that the store lists was heard."""
         return all(peer.was_heard for peer in self._board.peers.values())
 
--- a/trefoilstage/components/fleet/membership.py
+++ b/trefoilstage/components/fleet/membership.py
@@ -91,7 +91,7 @@
         """Stop sending heartbeats."""
         self._unsubscribe()
 
-    def take_records(self, records: list[KeyedRecord]) -> None:
+    def apply_records(self, records: list[KeyedRecord]) -> None:
         """Apply hosts' records from the store."""
         for record in records:
             if record.key == self._board.host:
@@ -106,7 +106,7 @@
                 continue
             self._known_hosts.apply_record(record.key, host_record, record.offset)
         if not self._board.is_large():
-            self.beat_soon()
+            self.send_heartbeats_now()
         elif not self._heartbeats_are_scheduled:
             self._heartbeats_are_scheduled = True
             self.add_future(self._send_heartbeats_later())
@@ -124,11 +124,11 @@
         """Return the number of hosts in the fleet, which share its limits."""
         return len(self._board.peers) + 1
 
-    def has_met_all(self) -> bool:
+    def has_heard_all_hosts(self) -> bool:
         """Return whether every host that the store lists was heard."""
-        return self._known_hosts.has_met_all()
+        return self._known_hosts.has_heard_all_hosts()
 
-    def beat_soon(self) -> None:
+    def send_heartbeats_now(self) -> None:
         """Send a round of heartbeats immediately, outside the usual interval."""
         self.add_future(self._send_heartbeats())
 
@@ -152,7 +152,7 @@
             return None
         return reply if isinstance(reply, SealReply) else None
 
-    def confirm(self, host: str) -> None:
+    def confirm_incarnation(self, host: str) -> None:
         """Ask a host of a large fleet immediately which incarnation it runs.
 
         If heartbeats reached it by random choice only, a restarted host would stay
--- a/trefoilstage/components/fleet/metrics.py
+++ b/trefoilstage/components/fleet/metrics.py
@@ -114,7 +114,7 @@
         add(
             "peer_call_seconds",
             "Seconds that a call to a peer takes at least, 0 if not known.",
-            lambda: board.round_trips.estimate(self._timer.now()),
+            lambda: board.round_trips.estimate_call_s(self._timer.now()),
         )
         add("peers_known", "Other hosts known.", lambda: len(board.peers))
         add(
--- a/trefoilstage/components/forwarding/server.py
+++ b/trefoilstage/components/forwarding/server.py
@@ -170,7 +170,7 @@
             now
         ):
             return False
-        wait_s = N_LINK_WAITS * self._board.round_trips.estimate(now)
+        wait_s = N_LINK_WAITS * self._board.round_trips.estimate_call_s(now)
         return wait_s > IN_TIME_OBJECTIVE_SHARE * objective_s
 
     def _check_link(self) -> bool:
@@ -182,7 +182,7 @@
             log_event(
                 Event.LINK_FULL if sends_elsewhere else Event.LINK_HAS_ROOM,
                 host=self._board.host,
-                call_s=self._board.round_trips.estimate(now),
+                call_s=self._board.round_trips.estimate_call_s(now),
                 active=self.n_active,
             )
         return sends_elsewhere
--- a/trefoilstage/components/forwarding/targets.py
+++ b/trefoilstage/components/forwarding/targets.py
@@ -162,7 +162,7 @@
         if not self._workload.is_large() or now - queried_at <= MAX_TOTALS_AGE_S:
             return False
         # On a full link, the reply would cost more time than it can save.
-        return self._board.round_trips.estimate(now) <= MAX_TOTAL_QUERY_S
+        return self._board.round_trips.estimate_call_s(now) <= MAX_TOTAL_QUERY_S
 
     def has_other_target(self, service: str, excluded: set[str]) -> bool:
         """Return whether a service has a ready target that is not excluded."""
--- a/trefoilstage/components/forwarding/workload.py
+++ b/trefoilstage/components/forwarding/workload.py
@@ -189,7 +189,7 @@
         return reply.kept
 
     def _get_query_timeout(self) -> float:
-        trip_s = self._board.round_trips.estimate(self._timer.now())
+        trip_s = self._board.round_trips.estimate_call_s(self._timer.now())
         wanted_s = max(QUERY_TIMEOUT_S, QUERY_TIMEOUT_ROUND_TRIPS * trip_s)
         return min(wanted_s, MAX_QUERY_TIMEOUT_S)
 
@@ -310,7 +310,7 @@
 
     async def _send_report(self, url: str, report: WorkReport) -> None:
         try:
-            await self._links.get_link(url).tell(report, timeout_s=REPORT_TIMEOUT_S)
+            await self._links.get_link(url).send(report, timeout_s=REPORT_TIMEOUT_S)
         except PeerUnavailableError:
             # Reports are hints; the heartbeats show whether the peer is lost.
             return
--- a/trefoilstage/components/membership/controller.py
+++ b/trefoilstage/components/membership/controller.py
@@ -10,7 +10,7 @@
 from trefoilstage.blackboard import Blackboard, PeerStatus
 from trefoilstage.components.log_client.stream import Ticket
 from trefoilstage.components.log_client.streams import Streams
-from trefoilstage.components.membership.ring import pick_watched
+from trefoilstage.components.membership.peer_selection import pick_watched
 from trefoilstage.components.peers.links import PeerLinks
 from trefoilstage.components.peers.messages import Heartbeat, PeerMessage
 from trefoilstage.components.peers.server import PeerServer
@@ -87,7 +87,7 @@
     async def _send_heartbeats(self) -> None:
         hosts = self._blackboard.config.hosts
         is_large = len(hosts) > MAX_FULL_MESH + 1
-        partners = list_partners(self._blackboard) if is_large else set()
+        partners = list_draw_partners(self._blackboard) if is_large else set()
         watched = pick_watched(self._blackboard.host, hosts, partners)
         self._blackboard.watched = frozenset(watched)
         # Each heartbeat is a separate task: a peer that does not respond would
@@ -213,7 +213,7 @@
             log_event(Event.PEER_LOST, peer=entry.host, silent_s=silent_s)
 
 
-def list_partners(blackboard: Blackboard) -> set[str]:
+def list_draw_partners(blackboard: Blackboard) -> set[str]:
     """Return the hosts whose status this one has to know because of a draw.
 
     A draw is a part of a budget that one host, its holder, takes; its witness accounts
--- a/trefoilstage/components/membership/ring.py
+++ b/trefoilstage/components/membership/peer_selection.py
@@ -5,7 +5,7 @@
 from trefoilstage.const import MAX_FULL_MESH
 from trefoilstage.util.hashing import rank_by_rendezvous
 
-N_SUCCESSORS = 8
+N_WATCHED_BY_RANK = 8
 
 
 def pick_watched(host: str, names: Iterable[str], partners: Iterable[str]) -> set[str]:
@@ -19,4 +19,4 @@
     if len(others) <= MAX_FULL_MESH:
         return others
     ranked = rank_by_rendezvous(host, sorted(others))
-    return set(ranked[:N_SUCCESSORS]) | (set(partners) & others)
+    return set(ranked[:N_WATCHED_BY_RANK]) | (set(partners) & others)
--- a/trefoilstage/components/peers/link.py
+++ b/trefoilstage/components/peers/link.py
@@ -58,7 +58,7 @@
                 await send_data(connection, self._codec.encode(frame))
                 reply = await future
         except TimeoutError as error:
-            self._round_trips.note_timeout(timeout_s, started + timeout_s)
+            self._round_trips.record_timeout(timeout_s, started + timeout_s)
             self._close_unresponsive_connection(started)
             raise PeerUnavailableError(repr(error)) from error
         except (OSError, WebSocketException) as error:
@@ -66,12 +66,12 @@
         finally:
             self._pending_calls.pop(number, None)
         ended = asyncio.get_running_loop().time()
-        self._round_trips.note_answer(ended - started, ended)
+        self._round_trips.record_reply(ended - started, ended)
         if isinstance(reply, ErrorReply):
             raise PeerUnavailableError(reply.detail)
         return reply
 
-    async def tell(self, message: Any, *, timeout_s: float) -> None:
+    async def send(self, message: Any, *, timeout_s: float) -> None:
         """Send a one-way message; raise PeerUnavailableError if it can't be sent."""
         frame = Frame(number=0, reply=True, body=message)
         try:
@@ -96,7 +96,7 @@
         # On a full link the replies of all peers are slow. Closing the connection would
         # fail the other calls on it, and reconnecting would use the same full link.
         now = asyncio.get_running_loop().time()
-        usual_s = self._round_trips.estimate_answer(now)
+        usual_s = self._round_trips.estimate_reply_s(now)
         if connection is None or now - called_at < max(
             UNRESPONSIVE_AFTER_S, UNRESPONSIVE_ROUND_TRIPS * usual_s
         ):
--- a/trefoilstage/components/peers/messages.py
+++ b/trefoilstage/components/peers/messages.py
@@ -124,4 +124,4 @@
 )
 
 
-FRAME_CODEC: Codec[Frame[PeerMessage]] = make_frame_codec(PeerMessage)
+PEER_CODEC: Codec[Frame[PeerMessage]] = make_frame_codec(PeerMessage)
--- a/trefoilstage/components/peers/round_trips.py
+++ b/trefoilstage/components/peers/round_trips.py
@@ -32,16 +32,16 @@
 
     calls: deque[RoundTrip] = field(default_factory=lambda: deque(maxlen=N_CALLS))
 
-    def note_answer(self, seconds: float, now: float) -> None:
+    def record_reply(self, seconds: float, now: float) -> None:
         """Record a call that got a reply after a number of seconds."""
         self.calls.append(RoundTrip(seconds=seconds, at=now, answered=True))
 
-    def note_timeout(self, seconds: float, now: float) -> None:
+    def record_timeout(self, seconds: float, now: float) -> None:
         """Record a call that got no reply within a number of seconds."""
         if seconds >= MIN_TIMEOUT_S:
             self.calls.append(RoundTrip(seconds=seconds, at=now, answered=False))
 
-    def estimate(self, now: float) -> float:
+    def estimate_call_s(self, now: float) -> float:
         """Return the seconds of the fastest recent call, 0 if too few are known.
 
         Calls that timed out count with their timeout.
@@ -49,7 +49,7 @@
         recent = [call.seconds for call in self.calls if now - call.at <= MAX_AGE_S]
         return min(recent) if len(recent) >= MIN_CALLS else 0.0
 
-    def estimate_answer(self, now: float) -> float:
+    def estimate_reply_s(self, now: float) -> float:
         """Return the seconds of the fastest recent call with a reply, 0 without any."""
         recent = [
             call.seconds
--- a/trefoilstage/fleet_board.py
+++ b/trefoilstage/fleet_board.py
@@ -81,9 +81,11 @@
         """Tell whether this incarnation was ever heard."""
         return self.last_heard > float("-inf")
 
-    def is_live(self, now: float, silent_s: float) -> bool:
+    def is_live(self, now: float, lost_after_s: float) -> bool:
         """Tell whether it serves and was heard of late."""
-        return self.serving and not self.failed and now - self.last_heard <= silent_s
+        return (
+            self.serving and not self.failed and now - self.last_heard <= lost_after_s
+        )
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -121,19 +123,19 @@
         """Tell whether there are more hosts than each can talk to all the time."""
         return len(self.peers) > MAX_PEERS_TOLD
 
-    def list_live_hosts(self, now: float, silent_s: float) -> tuple[str, ...]:
+    def list_live_hosts(self, now: float, lost_after_s: float) -> tuple[str, ...]:
         """Return the hosts that answer and serve, this one among them, by name.
 
         Asked for each request and each account; put together anew only when a peer
         has changed or the next one falls silent.
         """
-        known = self._live.get(silent_s)
+        known = self._live.get(lost_after_s)
         if known is not None and self._is_current(known, now):
             return known.names
-        found = self._find_live(now, silent_s)
+        found = self._find_live(now, lost_after_s)
         if known is None or known.names != found.names:
             self.live_changed_at = now
-        self._live[silent_s] = found
+        self._live[lost_after_s] = found
         return found.names
 
     def _is_current(self, known: LiveHosts, now: float) -> bool:
@@ -144,8 +146,8 @@
             and known.n_changes == self._n_peer_changes
         )
 
-    def _find_live(self, now: float, silent_s: float) -> LiveHosts:
-        live = [peer for peer in self.peers.values() if peer.is_live(now, silent_s)]
+    def _find_live(self, now: float, lost_after_s: float) -> LiveHosts:
+        live = [peer for peer in self.peers.values() if peer.is_live(now, lost_after_s)]
         names = [peer.host for peer in live]
         if self.phase is not Phase.DRAINING:
             names.append(self.host)
@@ -154,12 +156,12 @@
             phase=self.phase,
             n_peers=len(self.peers),
             n_changes=self._n_peer_changes,
-            until=min((peer.last_heard for peer in live), default=now) + silent_s,
+            until=min((peer.last_heard for peer in live), default=now) + lost_after_s,
         )
 
     def is_link_full(self, now: float) -> bool:
         """Tell whether messages wait long on this host's own link."""
-        return self.round_trips.estimate(now) > LINK_FULL_S
+        return self.round_trips.estimate_call_s(now) > LINK_FULL_S
 
     def sends_elsewhere(self, now: float) -> bool:
         """Tell whether callers do better at other hosts: only this link is full."""
--- a/trefoilstage/fleet_host.py
+++ b/trefoilstage/fleet_host.py
@@ -8,9 +8,9 @@
 from mode import Service
 
 from trefoilstage.components.crashes.probe import ConnectProbe
+from trefoilstage.components.fleet.board_updater import BoardUpdater
 from trefoilstage.components.fleet.messages import FLEET_CODEC
 from trefoilstage.components.fleet.metrics import MetricsServer
-from trefoilstage.components.fleet.watcher import BoardWatcher
 from trefoilstage.components.forwarding.sender import TargetSender, open_target_session
 from trefoilstage.components.forwarding.server import ForwardingServer
 from trefoilstage.components.forwarding.translator import RequestTranslator
@@ -53,7 +53,7 @@
         settings: FleetSettings,
         store: Store,
         translator: RequestTranslator,
-        watcher: BoardWatcher,
+        board_updater: BoardUpdater,
         board: FleetBoard,
         process_start: ProcessStart,
         lines: LineWriter,
@@ -64,7 +64,7 @@
         self._settings = settings
         self._store = store
         self._translator = translator
-        self._watcher = watcher
+        self._board_updater = board_updater
         self._board = board
         self.drain_requested = asyncio.Event()
         self._registry = StateRegistry()
@@ -85,7 +85,7 @@
             settings=settings,
             board=self._board,
             store=self._store,
-            watcher=self._watcher,
+            board_updater=self._board_updater,
             links=links,
             peers=peers,
             sender=TargetSender(session=self._session, translator=self._translator),
@@ -139,12 +139,12 @@
         while self._board.configuration is None:
             await asyncio.sleep(READY_POLL_S)
         met_by = loop.time() + MEET_S
-        while not self._membership.has_met_all() and loop.time() < met_by:
+        while not self._membership.has_heard_all_hosts() and loop.time() < met_by:
             await asyncio.sleep(READY_POLL_S)
         if self._board.phase is not Phase.STARTING:
             return
         self._board.phase = Phase.SERVING
-        self._membership.beat_soon()
+        self._membership.send_heartbeats_now()
         log_event(
             Event.HOST_READY,
             host=self._board.host,
@@ -165,7 +165,7 @@
         loop = asyncio.get_running_loop()
         ends = loop.time() + self._settings.shutdown_grace_s - LEAVE_S - STOP_S
         self._board.phase = Phase.DRAINING
-        self._membership.beat_soon()
+        self._membership.send_heartbeats_now()
         # Its successor as home draws at once; what lies here is missing there.
         self.add_future(self._home.return_unused())
         log_event(
--- a/trefoilstage/fleet_parts.py
+++ b/trefoilstage/fleet_parts.py
@@ -18,8 +18,8 @@
 from trefoilstage.components.escrow.lock_keeper import LockKeeper
 from trefoilstage.components.escrow.ranking import HomeRanking
 from trefoilstage.components.escrow.recovery import EscrowRecovery
+from trefoilstage.components.fleet.board_updater import BoardUpdater
 from trefoilstage.components.fleet.membership import FleetMembership
-from trefoilstage.components.fleet.watcher import BoardWatcher
 from trefoilstage.components.forwarding.pipeline import ForwardingPipeline
 from trefoilstage.components.forwarding.sender import TargetSender
 from trefoilstage.components.forwarding.targets import TargetChooser
@@ -84,7 +84,7 @@
     settings: FleetSettings,
     board: FleetBoard,
     store: Store,
-    watcher: BoardWatcher,
+    board_updater: BoardUpdater,
     links: PeerLinks,
     peers: PeerServer,
     sender: TargetSender,
@@ -97,12 +97,14 @@
 
     def take(topic: Topic, records: list[KeyedRecord]) -> None:
         if topic is Topic.HOSTS:
-            membership.take_records(records)
+            membership.apply_records(records)
         elif topic is Topic.CRASHES:
             crashes.apply_records(records)
             followers[topic].view.drop_oldest_records(MAX_CRASHES)
         else:
-            watcher.take(topic, records, asyncio.get_running_loop().time())
+            board_updater.apply_records(
+                topic, records, asyncio.get_running_loop().time()
+            )
 
     followers = make_followers(settings, board, store, take)
     membership = FleetMembership(
@@ -122,7 +124,7 @@
         timer=timer,
         grants=grants,
         ask_seal=membership.ask_seal,
-        confirm=membership.confirm,
+        confirm_incarnation=membership.confirm_incarnation,
     )
     membership.set_seal_handler(recovery.seal)
     lock = ReserveLock()
--- a/trefoilstage/platform/process.py
+++ b/trefoilstage/platform/process.py
@@ -9,7 +9,7 @@
 import aiohttp
 import uvloop
 
-from trefoilstage.components.fleet.watcher import BoardWatcher
+from trefoilstage.components.fleet.board_updater import BoardUpdater
 from trefoilstage.exceptions import SettingsError
 from trefoilstage.fleet_host import FleetHost, make_board
 from trefoilstage.fleet_settings import FleetSettings
@@ -51,7 +51,7 @@
             settings=settings,
             store=StoreClient(session=session, url=settings.store_url),
             translator=HeaderTranslator(),
-            watcher=BoardWatcher(
+            board_updater=BoardUpdater(
                 board=board,
                 configuration_key=CONFIGURATION_KEY,
                 decode_configuration=decode_configuration,
