--- a/standins/platform.py
+++ b/standins/platform.py
@@ -13,10 +13,10 @@
 from standins.keyed_store import KeyedStore
 from trefoilstage.components.views.keyed_view import KeyedRecord
 from trefoilstage.components.views.store import Topic
-from trefoilstage.platform.store import TOPICS, decode_content, encode_record
+from trefoilstage.platform.store import TOPIC_NAMES, decode_keyed_record, encode_record
 
 LOOPBACK = "127.0.0.1"
-TOPICS_BY_NAME = {name: topic for topic, name in TOPICS.items()}
+TOPICS_BY_NAME = {name: topic for topic, name in TOPIC_NAMES.items()}
 READ_POLL_S = 0.02
 
 
@@ -79,7 +79,7 @@
 
     async def _append(self, request: web.Request) -> web.Response:
         topic, part = self._find(request)
-        record = decode_content((await request.read())[4:], 0)
+        record = decode_keyed_record((await request.read())[4:], 0)
         at = request.query.get("at")
         offset = await self._store.put(
             topic,
--- a/tests/fuzz/test_target_entries.py
+++ b/tests/fuzz/test_target_entries.py
@@ -17,7 +17,7 @@
     decode_configuration,
     decode_target,
 )
-from trefoilstage.platform.store import decode_content
+from trefoilstage.platform.store import decode_keyed_record
 
 SOUND = "i-sound"
 JSON_VALUES = st.recursive(
@@ -71,7 +71,7 @@
         sound = KeyedRecord(key=SOUND, offset=0, value=encode_entry())
         watcher.apply_records(Topic.TARGETS, view.merge([sound]), 1.0)
         for offset, (key, value) in enumerate(entries, start=1):
-            record = decode_content(bytes([len(key)]) + key + value, offset)
+            record = decode_keyed_record(bytes([len(key)]) + key + value, offset)
             watcher.apply_records(Topic.TARGETS, view.merge([record]), 1.0)
         ready = board.targets.list_ready("x", 1.0)
         self.assertIn(SOUND, [entry.name for entry in ready])
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -18,7 +18,7 @@
 ENTRY_POINT = "from trefoilstage.cli.main import main; main()"
 TIMEOUT_S = 40.0
 DEAD_URL = "http://127.0.0.1:9"
-VERBS = (
+SUBCOMMANDS = (
     "config check",
     "config publish",
     "config remove",
@@ -74,13 +74,16 @@
 
     async def test_each_subcommand_has_examples(self) -> None:
         results = await asyncio.gather(
-            *(run_command(*subcommand.split(), "--help") for subcommand in VERBS[:6]),
+            *(
+                run_command(*subcommand.split(), "--help")
+                for subcommand in SUBCOMMANDS[:6]
+            ),
         )
-        for batch in (VERBS[6:12], VERBS[12:]):
+        for batch in (SUBCOMMANDS[6:12], SUBCOMMANDS[12:]):
             results += await asyncio.gather(
                 *(run_command(*subcommand.split(), "--help") for subcommand in batch)
             )
-        for subcommand, result in zip(VERBS, results, strict=True):
+        for subcommand, result in zip(SUBCOMMANDS, results, strict=True):
             self.assertEqual(result.code, ExitCode.OK, subcommand)
             self.assertIn(f"trefoilstage {subcommand}", result.out.split("Example")[1])
 
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -12,7 +12,7 @@
 from pydantic import BaseModel
 
 from tests.common import ROOT, read_table
-from tests.test_cli import VERBS
+from tests.test_cli import SUBCOMMANDS
 from trefoilstage.components.peers.messages import PeerMessage
 from trefoilstage.configuration.merge import merge_files
 from trefoilstage.configuration.records import ConfigRecord
@@ -119,7 +119,9 @@
             "Configuration": set(list_model_keys(Configuration, ())),
             "Refusals and rejections": list_values(Reason),
             "Events": list_values(Event),
-            "The command line": {f"trefoilstage {verb}" for verb in VERBS},
+            "The command line": {
+                f"trefoilstage {subcommand}" for subcommand in SUBCOMMANDS
+            },
         }
         for heading, names in lists.items():
             documented = read_table("OPERATING.md", heading)
--- a/trefoilstage/platform/store.py
+++ b/trefoilstage/platform/store.py
@@ -17,7 +17,7 @@
 )
 from trefoilstage.helpers.events import Event, log_event
 
-TOPICS: Final = {
+TOPIC_NAMES: Final = {
     Topic.CONFIGURATION: "keyed.op",
     Topic.TARGETS: "keyed.servers",
     Topic.HOSTS: "keyed.hosts",
@@ -90,7 +90,7 @@
     async def _list_page(
         self, topic: Topic, partition: int, after: str | None
     ) -> WirePage:
-        params = {"topic": TOPICS[topic], "part": str(partition)}
+        params = {"topic": TOPIC_NAMES[topic], "part": str(partition)}
         if after is not None:
             params["after"] = after
         status, data = await self._call("GET", "/trefoilstage/log-newest", params)
@@ -105,7 +105,7 @@
         Raise OffsetExpiredError if the store no longer keeps the offset.
         """
         params = {
-            "topic": TOPICS[topic],
+            "topic": TOPIC_NAMES[topic],
             "part": str(partition),
             "from": str(offset),
             "wait_ms": str(int(wait_s * 1000)),
@@ -128,7 +128,7 @@
         at: int | None = None,
     ) -> int | None:
         """Write a key; return its offset, or None if the topic did not end at `at`."""
-        params = {"topic": TOPICS[topic], "part": str(partition)}
+        params = {"topic": TOPIC_NAMES[topic], "part": str(partition)}
         if at is not None:
             params["at"] = str(at)
         body = encode_record(key, value)
@@ -222,13 +222,13 @@
                 raise StoreUnavailableError("truncated records")
             content = data[position : position + length]
             position += length
-            records.append(decode_content(content, offset + len(records)))
+            records.append(decode_keyed_record(content, offset + len(records)))
     except struct.error as error:
         raise StoreUnavailableError("malformed records") from error
     return RecordBatch(records=records, end_offset=offset + len(records))
 
 
-def decode_content(content: bytes, offset: int) -> KeyedRecord:
+def decode_keyed_record(content: bytes, offset: int) -> KeyedRecord:
     """Decode a keyed record, which consists of the key's length, the key and the value.
 
     A key that is not valid UTF-8 is escaped: an exception here would block every later
