--- a/trefoilstage/assembly.py
+++ b/trefoilstage/assembly.py
@@ -21,15 +21,15 @@
 from trefoilstage.components.operators.metrics import MetricsController
 from trefoilstage.components.operators.server import OperatorServer
 from trefoilstage.components.peers.links import PeerLinks
-from trefoilstage.components.peers.messages import FRAME_CODEC
+from trefoilstage.components.peers.messages import PEER_CODEC
 from trefoilstage.components.peers.relay import RelayedLog
 from trefoilstage.components.peers.server import PeerServer
 from trefoilstage.components.peers.snapshots import SnapshotServer
 from trefoilstage.components.targets.client import TargetClient
 from trefoilstage.components.targets.setup import TargetParts, make_target_parts
 from trefoilstage.helpers.dump import StateRegistry
-from trefoilstage.helpers.metrics import Metrics
-from trefoilstage.helpers.sends import open_session
+from trefoilstage.helpers.metrics import StatsdMetrics
+from trefoilstage.helpers.send_trace import open_session
 from trefoilstage.settings import HostSettings
 from trefoilstage.timer import TimerService
 
@@ -98,11 +98,9 @@
     session = make_session(settings, once=False)
     at_most_once_session = make_session(settings, once=True)
     timer = TimerService()
-    links = PeerLinks(
-        outbound_address=get_outbound_address(settings), codec=FRAME_CODEC
-    )
+    links = PeerLinks(outbound_address=get_outbound_address(settings), codec=PEER_CODEC)
     server = PeerServer(
-        address=settings.address, port=settings.peer_port, codec=FRAME_CODEC
+        address=settings.address, port=settings.peer_port, codec=PEER_CODEC
     )
     log = make_log_parts(
         settings=settings,
@@ -217,9 +215,9 @@
     return open_session(connector)
 
 
-def make_metrics(settings: HostSettings) -> Metrics:
+def make_metrics(settings: HostSettings) -> StatsdMetrics:
     """Return the metrics client."""
-    return Metrics(
+    return StatsdMetrics(
         address=settings.statsd_address,
         port=settings.statsd_port,
         host=settings.host,
--- a/trefoilstage/components/fleet/watcher.py
+++ b/trefoilstage/components/fleet/board_updater.py
@@ -8,13 +8,13 @@
 from trefoilstage.components.views.store import Topic
 from trefoilstage.exceptions import MalformedMessageError
 from trefoilstage.fleet_board import FleetBoard
-from trefoilstage.helpers.events import Event, log_event, shorten
+from trefoilstage.helpers.events import Event, log_event, truncate_text
 
 DecodeConfiguration = Callable[[bytes], FleetConfiguration]
 DecodeTarget = Callable[[str, bytes], TargetEntry]
 
 
-class BoardWatcher:
+class BoardUpdater:
     """Decode records of the store and update the board."""
 
     def __init__(
@@ -30,7 +30,9 @@
         self._decode_configuration = decode_configuration
         self._decode_target = decode_target
 
-    def take(self, topic: Topic, records: list[KeyedRecord], now: float) -> None:
+    def apply_records(
+        self, topic: Topic, records: list[KeyedRecord], now: float
+    ) -> None:
         """Apply the records of a topic."""
         for record in records:
             try:
@@ -45,9 +47,9 @@
                 log_event(
                     Event.RECORD_MALFORMED,
                     topic=topic,
-                    key=shorten(record.key),
+                    key=truncate_text(record.key),
                     offset=record.offset,
-                    error=shorten(str(error)),
+                    error=truncate_text(str(error)),
                 )
 
     def _apply_configuration(self, record: KeyedRecord) -> None:
--- a/trefoilstage/components/forwarding/server.py
+++ b/trefoilstage/components/forwarding/server.py
@@ -172,7 +172,7 @@
             or not self._board.sends_elsewhere(now)
         ):
             return False
-        wait_s = N_LINK_WAITS * self._board.round_trips.estimate(now)
+        wait_s = N_LINK_WAITS * self._board.round_trips.estimate_call_s(now)
         return wait_s > IN_TIME_OBJECTIVE_SHARE * objective_s
 
     def _can_peers_serve_faster(self) -> bool:
@@ -184,7 +184,7 @@
             log_event(
                 Event.LINK_FULL if sends_elsewhere else Event.LINK_HAS_ROOM,
                 host=self._board.host,
-                call_s=self._board.round_trips.estimate(now),
+                call_s=self._board.round_trips.estimate_call_s(now),
                 active=self.n_active,
             )
         return sends_elsewhere
--- a/trefoilstage/components/forwarding/workload.py
+++ b/trefoilstage/components/forwarding/workload.py
@@ -34,7 +34,7 @@
 from trefoilstage.exceptions import PeerUnavailableError
 from trefoilstage.fleet_board import FleetBoard
 from trefoilstage.timer import TimerService
-from trefoilstage.util.hashing import rank_names
+from trefoilstage.util.hashing import rank_by_rendezvous_cached
 
 # Prefill of a prompt of 12,000 tokens takes 0.2 s. Half of that is short enough for
 # reports to describe prompts that are still being processed.
@@ -190,8 +190,8 @@
         return reply.kept
 
     def _get_query_timeout(self) -> float:
-        round_trip_s = self._board.round_trips.estimate(self._timer.now())
-        wanted_s = max(QUERY_TIMEOUT_S, QUERY_TIMEOUT_ROUND_TRIPS * round_trip_s)
+        trip_s = self._board.round_trips.estimate_call_s(self._timer.now())
+        wanted_s = max(QUERY_TIMEOUT_S, QUERY_TIMEOUT_ROUND_TRIPS * trip_s)
         return min(wanted_s, MAX_QUERY_TIMEOUT_S)
 
     async def _answer_query(self, message: WorkQuery) -> WorkTotals:
@@ -226,7 +226,7 @@
         live = self._board.list_live_hosts(self._timer.now(), MAX_HOME_SILENCE_S)
         groups: dict[str, list[str]] = defaultdict(list)
         for target in targets:
-            ranked = rank_names(target, live)
+            ranked = rank_by_rendezvous_cached(target, live)
             if ranked:
                 groups[ranked[0]].append(target)
         return groups
@@ -311,7 +311,7 @@
 
     async def _send_report(self, url: str, report: WorkReport) -> None:
         try:
-            await self._links.get_link(url).tell(report, timeout_s=REPORT_TIMEOUT_S)
+            await self._links.get_link(url).send(report, timeout_s=REPORT_TIMEOUT_S)
         except PeerUnavailableError:
             # A lost report only makes choices worse, and heartbeats show whether the
             # peer is lost.
--- a/trefoilstage/components/peers/messages.py
+++ b/trefoilstage/components/peers/messages.py
@@ -18,7 +18,7 @@
     make_frame_codec,
 )
 from trefoilstage.helpers.codec import Codec
-from trefoilstage.helpers.fields import Name, Tokens
+from trefoilstage.helpers.field_types import Name, Tokens
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -124,4 +124,4 @@
 )
 
 
-FRAME_CODEC: Codec[Frame[PeerMessage]] = make_frame_codec(PeerMessage)
+PEER_CODEC: Codec[Frame[PeerMessage]] = make_frame_codec(PeerMessage)
--- a/trefoilstage/platform/store.py
+++ b/trefoilstage/platform/store.py
@@ -9,15 +9,15 @@
 
 from trefoilstage.components.views.keyed_view import KeyedRecord
 from trefoilstage.components.views.store import (
-    Listing,
     OffsetExpiredError,
+    RecordBatch,
     StoreRefusedError,
     StoreUnavailableError,
     Topic,
 )
 from trefoilstage.helpers.events import Event, log_event
 
-TOPICS: Final = {
+TOPIC_NAMES: Final = {
     Topic.CONFIGURATION: "keyed.op",
     Topic.TARGETS: "keyed.servers",
     Topic.HOSTS: "keyed.hosts",
@@ -71,7 +71,7 @@
         self._session = session
         self._url = url
 
-    async def list_newest(self, topic: Topic, partition: int = 0) -> Listing:
+    async def list_newest(self, topic: Topic, partition: int = 0) -> RecordBatch:
         """Return the newest record of each key, from all pages."""
         records: list[KeyedRecord] = []
         after: str | None = None
@@ -84,13 +84,13 @@
             items = validate_items(page.items, topic)
             records += [decode_item(item) for item in items]
             if not page.has_more or not items:
-                return Listing(records=records, end_offset=end_offset)
+                return RecordBatch(records=records, end_offset=end_offset)
             after = items[-1].key
 
     async def _list_page(
         self, topic: Topic, partition: int, after: str | None
     ) -> WirePage:
-        params = {"topic": TOPICS[topic], "part": str(partition)}
+        params = {"topic": TOPIC_NAMES[topic], "part": str(partition)}
         if after is not None:
             params["after"] = after
         status, data = await self._call("GET", "/trefoilstage/log-newest", params)
@@ -99,13 +99,13 @@
 
     async def read(
         self, topic: Topic, offset: int, wait_s: float, partition: int = 0
-    ) -> Listing:
+    ) -> RecordBatch:
         """Return the records from an offset on; wait up to `wait_s` for the first.
 
         Raise OffsetExpiredError if the store no longer keeps the offset.
         """
         params = {
-            "topic": TOPICS[topic],
+            "topic": TOPIC_NAMES[topic],
             "part": str(partition),
             "from": str(offset),
             "wait_ms": str(int(wait_s * 1000)),
@@ -128,7 +128,7 @@
         at: int | None = None,
     ) -> int | None:
         """Write a key; return its offset, or None if the topic did not end at `at`."""
-        params = {"topic": TOPICS[topic], "part": str(partition)}
+        params = {"topic": TOPIC_NAMES[topic], "part": str(partition)}
         if at is not None:
             params["at"] = str(at)
         body = encode_record(key, value)
@@ -207,7 +207,7 @@
     return RECORD_LENGTH.pack(len(content)) + content
 
 
-def decode_records(data: bytes, offset: int) -> Listing:
+def decode_records(data: bytes, offset: int) -> RecordBatch:
     """Decode the response to a read that began at an offset."""
     records: list[KeyedRecord] = []
     try:
@@ -222,13 +222,13 @@
                 raise StoreUnavailableError("truncated records")
             content = data[position : position + length]
             position += length
-            records.append(decode_content(content, offset + len(records)))
+            records.append(decode_keyed_record(content, offset + len(records)))
     except struct.error as error:
         raise StoreUnavailableError("malformed records") from error
-    return Listing(records=records, end_offset=offset + len(records))
+    return RecordBatch(records=records, end_offset=offset + len(records))
 
 
-def decode_content(content: bytes, offset: int) -> KeyedRecord:
+def decode_keyed_record(content: bytes, offset: int) -> KeyedRecord:
     """Decode a keyed record, which consists of the key's length, the key and the value.
 
     A key that is not valid UTF-8 is escaped: an exception here would block every later
