--- a/trefoilstage/__init__.py
+++ b/trefoilstage/__init__.py
@@ -1,1 +1,1 @@
-"""Route requests for prepaid token budgets over a fleet of hosts."""
+"""Route requests across a fleet of hosts and charge them to prepaid token budgets."""
--- a/trefoilstage/__main__.py
+++ b/trefoilstage/__main__.py
@@ -1,4 +1,4 @@
-"""Run the daemon by `python -m trefoilstage`."""
+"""Run the daemon with `python -m trefoilstage`."""
 
 from trefoilstage.util.startup import prepare_imports
 
--- a/trefoilstage/assembly.py
+++ b/trefoilstage/assembly.py
@@ -1,4 +1,4 @@
-"""Assemble the parts of one host."""
+"""Create the components of a host and connect them."""
 
 import random
 from collections.abc import Callable
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LogParts:
-    """Hold the services that follow and write the log."""
+    """Group the services that read and write the log."""
 
     log: RelayedLog
     streams: Streams
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HostParts:
-    """Hold every part of a host."""
+    """Group the components of a host."""
 
     session: aiohttp.ClientSession
     at_most_once_session: aiohttp.ClientSession
@@ -63,7 +63,7 @@
     metrics: MetricsController
 
     def list_services(self) -> list[Service]:
-        """Return the services in the order of their start."""
+        """Return the services in start order."""
         return [
             self.timer,
             self.links,
@@ -93,42 +93,42 @@
     registry: StateRegistry,
     drain: Callable[[], None],
 ) -> HostParts:
-    """Return the parts of a host, not yet started."""
+    """Create the components of a host without starting them."""
     generator = random.Random(blackboard.incarnation)
-    session = make_session(settings, once=False)
-    at_most_once_session = make_session(settings, once=True)
+    session = make_session(settings, close_after_request=False)
+    at_most_once_session = make_session(settings, close_after_request=True)
     timer = TimerService()
     links = PeerLinks(
         outbound_address=get_outbound_address(settings), codec=FRAME_CODEC
     )
-    server = PeerServer(
+    peer_server = PeerServer(
         address=settings.address, port=settings.peer_port, codec=FRAME_CODEC
     )
-    log = make_log_parts(
+    log_parts = make_log_parts(
         settings=settings,
         blackboard=blackboard,
         session=session,
         links=links,
-        server=server,
+        peer_server=peer_server,
         generator=generator,
     )
-    client = TargetClient(session=session)
+    target_client = TargetClient(session=session)
     budget = make_budget_parts(
         settings=settings,
         blackboard=blackboard,
-        streams=log.streams,
+        streams=log_parts.streams,
         links=links,
-        server=server,
-        targets=client,
+        server=peer_server,
+        targets=target_client,
         timer=timer,
         generator=generator,
     )
     targets = make_target_parts(
         settings=settings,
         blackboard=blackboard,
-        streams=log.streams,
+        streams=log_parts.streams,
         budget=budget.budget,
-        targets=client,
+        targets=target_client,
         timer=timer,
         generator=generator,
     )
@@ -140,13 +140,13 @@
             dispatcher=targets.dispatcher,
         ),
         links=links,
-        server=server,
+        server=peer_server,
         timer=timer,
         retention_s=settings.answer_retention_s,
     )
     bookings = BookingController(
         blackboard=blackboard,
-        streams=log.streams,
+        streams=log_parts.streams,
         budget=budget.budget,
         client=ServiceClient(
             session=session, at_most_once_session=at_most_once_session
@@ -158,21 +158,21 @@
         at_most_once_session=at_most_once_session,
         timer=timer,
         links=links,
-        peer_server=server,
-        log=log.log,
-        streams=log.streams,
+        peer_server=peer_server,
+        log=log_parts.log,
+        streams=log_parts.streams,
         membership=MembershipController(
             blackboard=blackboard,
             links=links,
-            server=server,
+            server=peer_server,
             timer=timer,
             heartbeat_s=settings.heartbeat_s,
             suspect_after_s=settings.suspect_after_s,
             forget_after_s=settings.forget_after_s,
-            streams=log.streams,
+            streams=log_parts.streams,
         ),
         configuration=ConfigurationController(
-            blackboard=blackboard, streams=log.streams, timer=timer
+            blackboard=blackboard, streams=log_parts.streams, timer=timer
         ),
         budget=budget,
         targets=targets,
@@ -186,7 +186,7 @@
         ),
         operators=OperatorServer(
             blackboard=blackboard,
-            streams=log.streams,
+            streams=log_parts.streams,
             registry=registry,
             drain=drain,
             address=settings.address,
@@ -194,7 +194,7 @@
         ),
         metrics=MetricsController(
             blackboard=blackboard,
-            streams=log.streams,
+            streams=log_parts.streams,
             timer=timer,
             metrics=make_metrics(settings),
             gauges={"requests.waiting": targets.admission.count_waiting},
@@ -203,22 +203,24 @@
 
 
 def get_outbound_address(settings: HostSettings) -> str:
-    """Return the address that this host calls from."""
+    """Return the local address of outgoing connections."""
     return settings.outbound_address or settings.address
 
 
-def make_session(settings: HostSettings, *, once: bool) -> aiohttp.ClientSession:
-    """Return an HTTP session; one for single sends keeps no connection."""
+def make_session(
+    settings: HostSettings, *, close_after_request: bool
+) -> aiohttp.ClientSession:
+    """Create an HTTP session, which can close each connection after its request."""
     connector = aiohttp.TCPConnector(
         limit=0,
-        force_close=once,
+        force_close=close_after_request,
         local_addr=(get_outbound_address(settings), 0),
     )
     return open_session(connector)
 
 
 def make_metrics(settings: HostSettings) -> Metrics:
-    """Return the metrics client."""
+    """Create the StatsD client."""
     return Metrics(
         address=settings.statsd_address,
         port=settings.statsd_port,
@@ -232,15 +234,15 @@
     blackboard: Blackboard,
     session: aiohttp.ClientSession,
     links: PeerLinks,
-    server: PeerServer,
+    peer_server: PeerServer,
     generator: random.Random,
 ) -> LogParts:
-    """Return the services that follow and write the log, not yet started."""
+    """Create the services that read and write the log without starting them."""
     log = RelayedLog(
         client=LogClient(session=session, url=settings.log_url),
         blackboard=blackboard,
         links=links,
-        server=server,
+        server=peer_server,
         timeout_s=settings.log_timeout_s,
         generator=generator,
     )
@@ -252,5 +254,5 @@
         checkpoint_interval_s=settings.checkpoint_interval_s,
         generator=generator,
     )
-    SnapshotServer(server=server, pack=streams.pack)
+    SnapshotServer(server=peer_server, pack=streams.pack)
     return LogParts(log=log, streams=streams)
--- a/trefoilstage/blackboard.py
+++ b/trefoilstage/blackboard.py
@@ -1,4 +1,8 @@
-"""Hold what a host knows; each fact has one writer, named beside it."""
+"""Represent the shared state of a host.
+
+Each field has one writer, named in a comment or doc comment beside it. Only `closing`
+has several: controllers add the tasks there that a drain waits for.
+"""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -15,7 +19,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class StreamStatus:
-    """Hold how a stream stands on this host; written by its follower."""
+    """Describe how far this host has read a stream; written by its follower."""
 
     reachable: bool = False
     halted: bool = False
@@ -26,7 +30,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class PeerStatus:
-    """Hold when a peer was last heard; written by the membership controller."""
+    """Describe when a peer last responded; written by the membership controller."""
 
     incarnation: str
     last_heard: float
@@ -35,7 +39,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ListedHost:
-    """Hold a host as the platform's lagging list shows it; a hint only."""
+    """Describe a host in the platform's list, which lags and serves only as a hint."""
 
     host: str
     peer_url: str
@@ -44,7 +48,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class TargetStatus:
-    """Hold how a target stands with this host; written by the router."""
+    """Describe a target's state as seen by this host; written by the router."""
 
     failures: int = 0
     last_used: float = float("-inf")
@@ -53,30 +57,30 @@
 
     @property
     def active(self) -> int:
-        """Return the requests of this host that the target runs."""
+        """Return the number of this host's requests that the target is running."""
         return self.load.active
 
 
 @dataclass(kw_only=True, slots=True)
 class Blackboard:
-    """Share the facts that controllers read and write."""
+    """Represent the state that the controllers of a host share."""
 
     host: str
     incarnation: str
     data_center: str
-    phase: Phase = Phase.STARTING  # the daemon
-    config: ConfigState = field(default_factory=ConfigState)  # config follower
-    ledgers: dict[int, LedgerState] = field(default_factory=dict)  # followers
-    streams: dict[str, StreamStatus] = field(default_factory=dict)  # followers
+    phase: Phase = Phase.STARTING  # host
+    config: ConfigState = field(default_factory=ConfigState)  # configuration follower
+    ledgers: dict[int, LedgerState] = field(default_factory=dict)  # ledger followers
+    streams: dict[str, StreamStatus] = field(default_factory=dict)  # stream followers
     log_in_reach: bool = True  # relayed log
     listed: dict[str, ListedHost] = field(default_factory=dict)  # membership
     watched: frozenset[str] = frozenset()  # membership
-    # Hosts that an operator has declared lost, until a time of the loop.
-    declared_lost: dict[str, float] = field(default_factory=dict)  # operators
+    # Hosts that an operator declared lost, with the event loop time at which this ends.
+    declared_lost: dict[str, float] = field(default_factory=dict)  # operator server
     peers: dict[str, PeerStatus] = field(default_factory=dict)  # membership
     targets: dict[str, TargetStatus] = field(default_factory=dict)  # router
     n_active: int = 0  # caller server
-    closing: set[asyncio.Task[Any]] = field(default_factory=set)  # runs
+    closing: set[asyncio.Task[Any]] = field(default_factory=set)  # several controllers
 
     @property
     def configuration(self) -> Configuration:
@@ -84,11 +88,11 @@
         return self.config.configuration
 
     def has_ledgers(self) -> bool:
-        """Tell whether every ledger of the configuration in force is followed."""
+        """Return whether all ledger streams of the configuration are followed."""
         return len(self.ledgers) >= self.configuration.fleet.ledger_streams
 
     def list_live_peers(self) -> list[HostEntry]:
-        """Return the reachable hosts other than this one, by name."""
+        """Return the live hosts other than this one, sorted by name."""
         return [
             entry
             for name, entry in sorted(self.config.hosts.items())
@@ -96,7 +100,7 @@
         ]
 
     def list_presumed_hosts(self) -> list[str]:
-        """Return the hosts not known to be lost; in a large fleet few are watched."""
+        """Return the names of hosts not known to be lost, watched or not, sorted."""
         return [
             name
             for name in sorted({*self.config.hosts, self.host})
@@ -104,10 +108,10 @@
         ]
 
     def is_peer_live(self, entry: HostEntry) -> bool:
-        """Tell whether a host's current incarnation answers, as far as is known.
+        """Return whether a host's current incarnation responds, as far as is known.
 
-        A large fleet's hosts watch few others. One that nobody here watches is
-        taken for live: to take it for lost would seal draws of a host at work.
+        In a large fleet each host watches few others. A host that is not watched here
+        counts as live: counting it as lost would seal the draws of a working host.
         """
         status = self.peers.get(entry.host)
         if status is None:
--- a/trefoilstage/const.py
+++ b/trefoilstage/const.py
@@ -1,4 +1,4 @@
-"""Name the constants that several parts share."""
+"""Define constants that several components share."""
 
 from typing import Final
 
@@ -10,7 +10,7 @@
 FOLD_VERSION: Final = 1
 RECORD_VERSION: Final = 1
 
-# The offset in the answer to an append when the log gave none.
+# Offset in the reply to an append if the log returned none.
 NO_OFFSET: Final = -1
 
 MAX_FULL_MESH: Final = 8
--- a/trefoilstage/daemon.py
+++ b/trefoilstage/daemon.py
@@ -1,4 +1,4 @@
-"""Run the daemon, trefoilstaged."""
+"""Provide the command line of the daemon, trefoilstaged."""
 
 import asyncio
 import signal
@@ -29,11 +29,11 @@
 
 
 async def run_host(settings: HostSettings) -> None:
-    """Serve until a signal or an operator asks to drain."""
+    """Run a host until a signal or an operator requests a drain."""
     host = Host(settings=settings)
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, host.drain_requested.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, host.drain_requested.set)
     loop.add_signal_handler(signal.SIGUSR1, host.write_dump)
     try:
         await host.start()
@@ -44,7 +44,7 @@
 
 
 def main() -> None:
-    """Start the daemon from the command line."""
+    """Parse the command line and run the daemon."""
     arguments = cappa.parse(Daemon)
     set_up_events()
     try:
--- a/trefoilstage/exceptions.py
+++ b/trefoilstage/exceptions.py
@@ -1,28 +1,28 @@
-"""Define the errors that cross module borders."""
+"""Define exceptions that are raised in one module and handled in another."""
 
 
 class TrefoilstageError(Exception):
-    """Base every error of the product."""
+    """Serve as the base class of the package's exceptions."""
 
 
 class MalformedMessageError(TrefoilstageError):
-    """Report bytes that are no message of the expected kind."""
+    """Indicate bytes that are not a valid message of the expected kind."""
 
 
 class NotReadyError(TrefoilstageError):
-    """Report that the same call may succeed later."""
+    """Indicate a failure after which the same call may succeed later."""
 
 
 class StreamNotFollowedError(NotReadyError):
-    """Report a stream that this host does not follow yet; nothing was sent."""
+    """Indicate a stream that this host does not follow yet; nothing was sent."""
 
 
 class LogUnavailableError(NotReadyError):
-    """Report that the log gave no answer; the append may have taken effect."""
+    """Indicate that the log did not respond; an append may have taken effect."""
 
 
 class RecordsExpiredError(TrefoilstageError):
-    """Report that the log no longer keeps the offset asked for."""
+    """Indicate that the log no longer has the record at the requested offset."""
 
     def __init__(self, *, earliest: int) -> None:
         super().__init__(f"records before offset {earliest} have expired")
@@ -30,20 +30,20 @@
 
 
 class UnsupportedVersionError(TrefoilstageError):
-    """Report that a stream went over to a fold version this host does not know."""
+    """Indicate a stream upgraded to a fold version that this host does not support."""
 
 
 class SequenceForgottenError(TrefoilstageError):
-    """Report a state that has dropped this writer, so that it must start anew."""
+    """Indicate that the fold no longer knows this writer, which must restart."""
 
 
 class PeerUnavailableError(NotReadyError):
-    """Report that a peer gave no answer; it may have acted all the same."""
+    """Indicate that a peer did not reply; it may still have processed the call."""
 
 
 class HostCrashedError(TrefoilstageError):
-    """Report that a part of the host failed, so that the process must end."""
+    """Indicate that a component of the host failed, so that the process must exit."""
 
 
 class SettingsError(TrefoilstageError):
-    """Report every finding in a settings file at once."""
+    """List all validation errors of a settings file."""
--- a/trefoilstage/fleet_board.py
+++ b/trefoilstage/fleet_board.py
@@ -1,4 +1,7 @@
-"""Hold what a forwarding host knows; each fact has one writer, named beside it."""
+"""Represent the shared state of a forwarding host.
+
+Each field has one writer, named in a comment or doc comment beside it.
+"""
 
 from dataclasses import dataclass, field
 
@@ -9,25 +12,25 @@
 from trefoilstage.helpers.events import Event, log_event
 from trefoilstage.phase import Phase
 
-# A call or two may fail without an outage. Half a second of failures is one:
-# from then on peers are asked, and a silent target is no longer taken for gone.
-OUT_OF_REACH_S = 0.5
-# A call to a peer takes 1 to 5 ms on a link with room.
-LINK_FULL_S = 0.15
-# Where more of the peers stand no better, callers would meet the same at them.
-MAX_FULL_SHARE = 0.3
-# Calls that nobody answers tell of a full link only while the peers are heard. The last
-# hosts after a loss of power would send their callers to those that are gone.
-MIN_HEARD_SHARE = 0.5
-HEARD_S = 3.0
-# With more peers than this nothing goes from each host to all others any more: what
-# that costs a host grows with the square of the fleet.
-MAX_PEERS_TOLD = 12
+# Single calls may fail without an outage. Once all calls have failed for this long, the
+# host asks its peers and no longer treats a silent target as gone.
+OUT_OF_REACH_AFTER_S = 0.5
+# A call to a peer takes 1 to 5 ms on a link that is not full.
+LINK_FULL_DELAY_S = 0.15
+# If more peers than this report a full link too, callers would gain nothing there.
+MAX_FULL_PEER_SHARE = 0.3
+# Unanswered calls indicate a full link only while the peers' heartbeats arrive. After a
+# power loss, the remaining hosts would otherwise send callers to hosts that are gone.
+MIN_HEARD_PEER_SHARE = 0.5
+RECENTLY_HEARD_S = 3.0
+# With more peers than this, hosts no longer send messages to all other hosts: the cost
+# of that grows with the square of the fleet's size.
+MAX_BROADCAST_PEERS = 12
 
 
 @dataclass(kw_only=True, slots=True)
 class StoreReach:
-    """Hold whether the store answers this host; written by those who call it."""
+    """Record whether the store responds to this host; written by its callers."""
 
     last_answer: float = float("-inf")
     failing_since: float | None = None
@@ -35,11 +38,11 @@
     out_of_reach: bool = False
 
     def get_silence(self, now: float) -> float:
-        """Return the seconds since the last answer, 0 while the store is in reach."""
+        """Return the seconds since the last answer, 0 while the store is reachable."""
         return now - self.last_answer if self.out_of_reach else 0.0
 
     def note_answer(self, now: float) -> None:
-        """Take note of an answer."""
+        """Record that the store answered a call."""
         if self.out_of_reach:
             self.out_of_reach = False
             self.back_at = now
@@ -48,100 +51,101 @@
         self.failing_since = None
 
     def note_failure(self, now: float, error: str) -> None:
-        """Take note of a call without a proper answer."""
+        """Record that a call failed or got an invalid answer."""
         if self.failing_since is None:
             self.failing_since = now
-        if not self.out_of_reach and now - self.failing_since >= OUT_OF_REACH_S:
+        if not self.out_of_reach and now - self.failing_since >= OUT_OF_REACH_AFTER_S:
             self.out_of_reach = True
             log_event(Event.STORE_OUT_OF_REACH, error=error)
 
 
 @dataclass(kw_only=True, slots=True)
 class PeerState:
-    """Hold what a peer said last; written by the membership controller."""
+    """Describe a peer as last reported; written by the membership controller."""
 
     host: str
     incarnation: str
     peer_url: str
     data_center: str
-    # Where the store has this incarnation's record, -1 if that is not known.
+    # Offset of this incarnation's record in the store, -1 if unknown.
     announced_at: int = -1
     last_heard: float = float("-inf")
-    # When a call was made that this incarnation answered; it ran after that moment.
+    # Start of the last call that this incarnation answered; it ran after that time.
     confirmed_at: float = float("-inf")
     serving: bool = False
-    failed: bool = False  # a call failed since it was last heard
+    failed: bool = False  # a call to it failed since its last message
     store_in_reach: bool = True
-    link_full: bool = False  # as it said itself, not passed on by others
-    # Its predecessors that never touched their locked tokens; None until it knows.
+    link_full: bool = False  # reported by the peer itself, not relayed
+    # The peer's previous incarnations that provably used none of their locked tokens;
+    # None until the peer knows them.
     untouched: tuple[str, ...] | None = None
 
     @property
     def was_heard(self) -> bool:
-        """Tell whether this incarnation was ever heard."""
+        """Return whether a message from this incarnation was ever received."""
         return self.last_heard > float("-inf")
 
     def is_live(self, now: float, silent_s: float) -> bool:
-        """Tell whether it serves and was heard of late."""
+        """Return whether the peer serves and was heard from recently."""
         return self.serving and not self.failed and now - self.last_heard <= silent_s
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LiveHosts:
-    """Hold which hosts were live, and until when that holds if nothing is heard."""
+    """Describe which hosts were live and when the first of them becomes silent."""
 
     names: tuple[str, ...]
     phase: Phase  # of this host
     n_peers: int
-    n_changes: int  # of peers until then
-    until: float
+    n_changes: int  # value of the change counter at that time
+    until: float  # valid until then unless a peer changes
 
 
 @dataclass(kw_only=True, slots=True)
 class FleetBoard:
-    """Share the facts that controllers read and write."""
+    """Represent the state that the controllers of a forwarding host share."""
 
     host: str
     incarnation: str
     data_center: str
-    phase: Phase = Phase.STARTING  # the host
+    phase: Phase = Phase.STARTING  # host
     store: StoreReach = field(default_factory=StoreReach)
     configuration: FleetConfiguration | None = None  # configuration follower
     routes: RouteTable = field(default_factory=lambda: RouteTable(routes=()))
-    targets: TargetDirectory = field(default_factory=TargetDirectory)  # its follower
+    targets: TargetDirectory = field(default_factory=TargetDirectory)  # target follower
     peers: dict[str, PeerState] = field(default_factory=dict)  # membership
     round_trips: RoundTrips = field(default_factory=RoundTrips)  # links to peers
     untouched: tuple[str, ...] | None = None  # lock keeper
-    # When the live hosts were found to have changed, for the last time.
+    # When list_live_hosts last found a different list.
     live_changed_at: float = float("-inf")
-    _live: dict[float, LiveHosts] = field(default_factory=dict)  # by silence allowed
+    _live: dict[float, LiveHosts] = field(default_factory=dict)  # by silent_s
     _n_peer_changes: int = 0
 
     def is_large(self) -> bool:
-        """Tell whether there are more hosts than each can talk to all the time."""
-        return len(self.peers) > MAX_PEERS_TOLD
+        """Return whether there are too many hosts for each to send to all others."""
+        return len(self.peers) > MAX_BROADCAST_PEERS
 
     def list_live_hosts(self, now: float, silent_s: float) -> tuple[str, ...]:
-        """Return the hosts that answer and serve, this one among them, by name.
+        """Return the sorted names of the live hosts, with this one unless it drains.
 
-        Asked for each request and each account; put together anew only when a peer
-        has changed or the next one falls silent.
+        Called for each request and each account, so the list is cached until a peer
+        changes or the next one becomes silent.
         """
-        known = self._live.get(silent_s)
-        if known is not None and self._is_current(known, now):
-            return known.names
+        cached = self._live.get(silent_s)
+        if cached is not None and self._is_current(cached, now):
+            return cached.names
         found = self._find_live(now, silent_s)
-        if known is None or known.names != found.names:
+        if cached is None or cached.names != found.names:
             self.live_changed_at = now
         self._live[silent_s] = found
         return found.names
 
-    def _is_current(self, known: LiveHosts, now: float) -> bool:
+    def _is_current(self, cached: LiveHosts, now: float) -> bool:
         return (
-            now <= known.until
-            and known.phase is self.phase
-            and known.n_peers == len(self.peers)
-            and known.n_changes == self._n_peer_changes
+            now <= cached.until
+            and cached.phase is self.phase
+            and cached.n_peers == len(self.peers)
+            and cached.n_changes == self._n_peer_changes
         )
 
     def _find_live(self, now: float, silent_s: float) -> LiveHosts:
@@ -158,25 +162,30 @@
         )
 
     def is_link_full(self, now: float) -> bool:
-        """Tell whether messages wait long on this host's own link."""
-        return self.round_trips.estimate(now) > LINK_FULL_S
+        """Return whether messages are delayed on this host's own network link."""
+        return self.round_trips.estimate(now) > LINK_FULL_DELAY_S
 
     def sends_elsewhere(self, now: float) -> bool:
-        """Tell whether callers do better at other hosts: only this link is full."""
+        """Return whether this link is full while those of most peers are not.
+
+        Callers are then served better by other hosts.
+        """
         if not self.peers or not self.is_link_full(now):
             return False
-        n_heard = sum(now - peer.last_heard <= HEARD_S for peer in self.peers.values())
+        n_heard = sum(
+            now - peer.last_heard <= RECENTLY_HEARD_S for peer in self.peers.values()
+        )
         n_full = sum(peer.link_full for peer in self.peers.values())
-        return n_heard >= MIN_HEARD_SHARE * len(
+        return n_heard >= MIN_HEARD_PEER_SHARE * len(
             self.peers
-        ) and n_full <= MAX_FULL_SHARE * len(self.peers)
+        ) and n_full <= MAX_FULL_PEER_SHARE * len(self.peers)
 
     def note_peer_changed(self) -> None:
-        """Put the live hosts together anew when they are asked for next."""
+        """Invalidate the cached list of live hosts."""
         self._n_peer_changes += 1
 
     def reaches_store(self, host: str) -> bool:
-        """Tell whether a known host, or this one, reaches the store."""
+        """Return whether this host or a known peer reaches the store."""
         if host == self.host:
             return not self.store.out_of_reach
         return self.peers[host].store_in_reach
--- a/trefoilstage/fleet_host.py
+++ b/trefoilstage/fleet_host.py
@@ -1,4 +1,4 @@
-"""Run a host that forwards to registered targets, from its start to its end."""
+"""Run a host that forwards requests to registered targets, from start to shutdown."""
 
 import asyncio
 import json
@@ -26,26 +26,26 @@
 from trefoilstage.phase import Phase
 from trefoilstage.util.process_start import ProcessStart
 
-READY_POLL_S = 0.02
-# Peers that run answer within milliseconds; the store may name some that are gone.
+POLL_INTERVAL_S = 0.02
+# Running peers respond within milliseconds; the store may list some that are gone.
 MEET_S = 0.6
-# A stream takes 4 s at most in nine cases of ten; begun later, it would be cut.
-ACCEPT_WHILE_DRAINING_S = 3.0
-# A call to a plain service takes at most this long.
-QUICK_S = 0.5
-# Callers, and a balancer that uses every host, learn of the end of the last stream a
-# moment later. Without this time their calls met a port that was closed 12 to 25 ms
-# after it: 5 of 66 shutdowns beside busy processes refused a connection. It covers the
-# 200 ms within which the platform's rules let a planned stop cut a request, twice, as
-# a busy host or caller is late itself.
-LAST_CALLS_S = 0.4
-# Time kept at the end of the grace to give tokens back, and to stop.
-LEAVE_S = 0.6
-STOP_S = 0.6
+# Nine of ten streams take at most 4 s; one accepted later would be cut off.
+ACCEPT_STREAMS_WHILE_DRAINING_S = 3.0
+# Longest call to a plain HTTP service.
+MAX_PLAIN_CALL_S = 0.5
+# Callers, and a balancer that uses every host, notice the end of the last stream a
+# moment later. Without this time the port closed 12 to 25 ms after that end, and 5 of
+# 66 shutdowns beside busy processes refused a connection. It is twice the 200 ms within
+# which the platform's rules let a planned stop cut a request, as a busy host or caller
+# may be late itself.
+ACCEPT_AFTER_LAST_STREAM_S = 0.4
+# Time reserved at the end of the shutdown grace to return tokens, and to stop.
+LEAVE_TIMEOUT_S = 0.6
+STOP_RESERVE_S = 0.6
 
 
 class FleetHost(Service):
-    """Run every part of one forwarding host on one loop."""
+    """Run all components of a forwarding host on one event loop."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
         self._registry = StateRegistry()
 
     async def on_start(self) -> None:
-        """Build the parts and start them, inner ones first."""
+        """Create the components and start each after those that it depends on."""
         settings = self._settings
         self._session = open_target_session(settings.address, self._board)
         links = PeerLinks(
@@ -130,17 +130,17 @@
         )
 
     async def _become_ready(self) -> None:
-        """Serve once a configuration is known and the other hosts were heard.
+        """Start serving once a configuration is known and the peers have responded.
 
-        A host that has heard nobody takes itself for the home of every workspace,
-        and would draw a stock for each.
+        The home of a workspace is the host that draws tokens for it. A host that has
+        heard from no peer would act as the home of every workspace and draw for each.
         """
         loop = asyncio.get_running_loop()
         while self._board.configuration is None:
-            await asyncio.sleep(READY_POLL_S)
-        met_by = loop.time() + MEET_S
-        while not self._membership.has_met_all() and loop.time() < met_by:
-            await asyncio.sleep(READY_POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
+        meet_peers_until = loop.time() + MEET_S
+        while not self._membership.has_met_all() and loop.time() < meet_peers_until:
+            await asyncio.sleep(POLL_INTERVAL_S)
         if self._board.phase is not Phase.STARTING:
             return
         self._board.phase = Phase.SERVING
@@ -153,53 +153,64 @@
         )
 
     async def run(self) -> None:
-        """Serve until told to drain, or until a part fails."""
+        """Serve until a drain is requested or a component fails."""
         await self.wait(self.drain_requested)
         if self.crashed:
             log_event(Event.HOST_CRASHED, error=describe_error(self.crash_reason))
-            raise self.crash_reason or RuntimeError("a part failed")
+            raise self.crash_reason or RuntimeError("a component of the host failed")
         await self.drain()
 
     async def drain(self) -> None:
-        """Take no new callers, finish the requests in flight, give tokens back."""
+        """Stop accepting requests, finish those in flight and return unused tokens."""
         loop = asyncio.get_running_loop()
-        ends = loop.time() + self._settings.shutdown_grace_s - LEAVE_S - STOP_S
+        drain_deadline = (
+            loop.time()
+            + self._settings.shutdown_grace_s
+            - LEAVE_TIMEOUT_S
+            - STOP_RESERVE_S
+        )
         self._board.phase = Phase.DRAINING
         self._membership.beat_soon()
-        # Its successor as home draws at once; what lies here is missing there.
+        # The next home draws immediately and cannot use tokens that stay here.
         self.add_future(self._home.return_unused())
         log_event(
             Event.HOST_DRAINING, host=self._board.host, active=self._server.n_active
         )
-        # The balancer needs two misses, and where most hosts of a data centre drain
-        # it goes on using all of them. A closed port would cost those callers their
-        # request, so the port stays open to the end.
-        await asyncio.sleep(max(0.0, min(ACCEPT_WHILE_DRAINING_S, ends - loop.time())))
+        # The balancer removes a host after two failed checks, and keeps using all hosts
+        # of a data centre if most of them drain. Those callers' requests would fail at
+        # a closed port, so the port stays open until the end.
+        await asyncio.sleep(
+            max(0.0, min(ACCEPT_STREAMS_WHILE_DRAINING_S, drain_deadline - loop.time()))
+        )
         self._server.refuse_streams()
-        # Where most hosts of a data centre drain, quick calls never cease. Waiting for
-        # a pause among them, a host stayed to the end of its grace and refused streams
-        # that its successor could have served: 204 within 8 s of hosts stopped in turn.
-        while loop.time() < ends - QUICK_S and self._server.n_streams:
-            await asyncio.sleep(READY_POLL_S)
-        last_calls_until = min(loop.time() + LAST_CALLS_S, ends - QUICK_S)
-        await asyncio.sleep(max(0.0, last_calls_until - loop.time()))
+        # If most hosts of a data centre drain, plain calls never stop arriving. A host
+        # that waited for a pause stayed until the end of its grace and refused streams
+        # that its replacement could have served: 204 within 8 s of a rolling stop.
+        while (
+            loop.time() < drain_deadline - MAX_PLAIN_CALL_S and self._server.n_streams
+        ):
+            await asyncio.sleep(POLL_INTERVAL_S)
+        accept_until = min(
+            loop.time() + ACCEPT_AFTER_LAST_STREAM_S, drain_deadline - MAX_PLAIN_CALL_S
+        )
+        await asyncio.sleep(max(0.0, accept_until - loop.time()))
         self._server.refuse_all_requests()
         log_event(
             Event.HOST_LEAVING,
             host=self._board.host,
             active=self._server.n_active,
             streams=self._server.n_streams,
-            grace_left_s=ends - loop.time(),
+            grace_left_s=drain_deadline - loop.time(),
         )
-        ended = await self._server.drain(max(0.0, ends - loop.time()))
-        if not ended:
+        all_ended = await self._server.drain(max(0.0, drain_deadline - loop.time()))
+        if not all_ended:
             log_event(Event.DRAIN_INCOMPLETE, host=self._board.host)
             await self._server.cancel_requests()
         await self._leave()
 
     async def _leave(self) -> None:
         try:
-            async with asyncio.timeout(LEAVE_S):
+            async with asyncio.timeout(LEAVE_TIMEOUT_S):
                 await self._escrow.flush()
                 await self._home.return_unused()
                 await self._membership.withdraw()
@@ -212,12 +223,12 @@
         log_event(Event.HOST_STOPPED, host=self._board.host)
 
     def write_dump(self) -> None:
-        """Write the whole state to standard error as one JSON line."""
+        """Write the state dump to standard error as one JSON line."""
         sys.stderr.write(json.dumps(self._registry.dump()) + "\n")
 
 
 def make_board(settings: FleetSettings) -> FleetBoard:
-    """Return the board of a new incarnation of a host."""
+    """Create the board of a new incarnation, i.e. one run of the host's process."""
     return FleetBoard(
         host=settings.host,
         incarnation=f"{settings.host}-{uuid.uuid4().hex[:12]}",
--- a/trefoilstage/fleet_parts.py
+++ b/trefoilstage/fleet_parts.py
@@ -1,4 +1,4 @@
-"""Put the parts of a forwarding host together, without its sockets."""
+"""Create the components of a forwarding host, except those that own sockets."""
 
 import asyncio
 import random
@@ -34,25 +34,26 @@
 from trefoilstage.timer import TimerService
 from trefoilstage.util.process_start import ProcessStart
 
-# A configuration is in force within 2 s of its acceptance: the store answers a
-# waiting read at once, and a connection that went silent is given up after this.
+# A configuration must be in force within 2 s of its acceptance. The store answers a
+# long-poll read immediately on a change; this bounds the wait on a dead connection.
 CONFIGURATION_WAIT_S = 1.0
-# Targets write about once a second each, so a waiting read would return for each
-# one. Read five times within the time in which a leaving target must get no more
-# requests, even a slow read finds it well before.
+# Each target writes about once a second, so a long-poll read would return for every
+# write. A leaving target must get no more requests after the drain time; with five
+# reads in that time, even a slow read finds it early enough.
 TARGET_READS_PER_DRAIN = 5
 HOSTS_WAIT_S = 3.0
-# A host that missed a crash on a silent connection hears of it before targets that
-# ended under the same request are back.
+# If a dead connection hides a crash record, the host still reads it before the targets
+# that crashed on the same request have restarted.
 CRASHES_WAIT_S = 2.0
-# In a large fleet a record of each host ends the waiting reads of all others, as when
-# all hosts start; read at once, that is the square of their number.
+# In a large fleet each host's record ends the long-poll reads of all others, for
+# instance when all hosts start. Without a pause, the number of reads would grow with
+# the square of the number of hosts.
 LARGE_PAUSE_S = 0.25
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class FleetParts:
-    """Hold the parts of one host that decide, wired to each other."""
+    """Group the connected components of a forwarding host, except its servers."""
 
     timer: TimerService
     followers: Mapping[Topic, ViewFollower]
@@ -66,7 +67,7 @@
     pipeline: ForwardingPipeline
 
     def list_services(self) -> list[Service]:
-        """Return the parts that are started, inner ones first."""
+        """Return the services to start, each after those that it depends on."""
         return [
             *self.followers.values(),
             self.membership,
@@ -91,11 +92,11 @@
     probe: TargetProbe,
     process_start: ProcessStart,
 ) -> FleetParts:
-    """Return the parts of one host, not started yet."""
+    """Create the components of a forwarding host without starting them."""
     generator = random.Random(board.incarnation)
     timer = TimerService()
 
-    def take(topic: Topic, records: list[KeyedRecord]) -> None:
+    def apply_records(topic: Topic, records: list[KeyedRecord]) -> None:
         if topic is Topic.HOSTS:
             membership.take_records(records)
         elif topic is Topic.CRASHES:
@@ -104,7 +105,7 @@
         else:
             watcher.take(topic, records, asyncio.get_running_loop().time())
 
-    followers = make_followers(settings, board, store, take)
+    followers = make_followers(settings, board, store, apply_records)
     membership = FleetMembership(
         board=board,
         store=store,
@@ -203,30 +204,30 @@
     settings: FleetSettings,
     board: FleetBoard,
     store: Store,
-    take: Callable[[Topic, list[KeyedRecord]], None],
+    apply_records: Callable[[Topic, list[KeyedRecord]], None],
 ) -> dict[Topic, ViewFollower]:
-    """Return what follows each topic that all hosts read."""
+    """Create a follower for each topic that all hosts read."""
 
-    def make(topic: Topic, wait_s: float, get_pause: GetPause) -> ViewFollower:
+    def make_follower(topic: Topic, wait_s: float, get_pause: GetPause) -> ViewFollower:
         return ViewFollower(
             board=board,
             store=store,
             topic=topic,
             wait_s=wait_s,
             get_pause=get_pause,
-            on_change=lambda records: take(topic, records),
+            on_change=lambda records: apply_records(topic, records),
         )
 
     targets_pause_s = settings.target_drain_s / TARGET_READS_PER_DRAIN
     return {
-        Topic.CONFIGURATION: make(
+        Topic.CONFIGURATION: make_follower(
             Topic.CONFIGURATION, CONFIGURATION_WAIT_S, lambda: 0.0
         ),
-        Topic.TARGETS: make(Topic.TARGETS, 0.0, lambda: targets_pause_s),
-        Topic.HOSTS: make(
+        Topic.TARGETS: make_follower(Topic.TARGETS, 0.0, lambda: targets_pause_s),
+        Topic.HOSTS: make_follower(
             Topic.HOSTS, HOSTS_WAIT_S, lambda: LARGE_PAUSE_S * board.is_large()
         ),
-        Topic.CRASHES: make(
+        Topic.CRASHES: make_follower(
             Topic.CRASHES, CRASHES_WAIT_S, lambda: LARGE_PAUSE_S * board.is_large()
         ),
     }
--- a/trefoilstage/fleet_settings.py
+++ b/trefoilstage/fleet_settings.py
@@ -1,4 +1,4 @@
-"""Check the settings of a host that forwards to registered targets."""
+"""Define the settings of a host that forwards requests to registered targets."""
 
 from typing import Annotated
 
@@ -6,14 +6,14 @@
 
 from trefoilstage.configuration.schema import HttpUrl
 
-# Given by the platform; long enough for any that it may draw, and for messages.
+# The platform assigns names; the limit allows all of them and fits in messages.
 Name = Annotated[str, Field(min_length=1, max_length=100)]
 Port = Annotated[int, Field(ge=0, le=65535)]
 Seconds = Annotated[float, Field(gt=0)]
 
 
 class FleetSettings(BaseModel):
-    """Describe one host: its name, addresses, and the fleet's limits."""
+    """Describe a host's name and addresses and the limits that all hosts share."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
--- a/trefoilstage/host.py
+++ b/trefoilstage/host.py
@@ -1,4 +1,4 @@
-"""Run one host from its start to its drained end."""
+"""Run a host from its start until it is drained."""
 
 import asyncio
 import json
@@ -18,12 +18,12 @@
 from trefoilstage.phase import Phase
 from trefoilstage.settings import HostSettings
 
-READY_POLL_S = 0.02
-HALTED_CHECK_S = 0.5
+READY_POLL_INTERVAL_S = 0.02
+HALTED_CHECK_INTERVAL_S = 0.5
 
 
 class Host(Service):
-    """Run every part of one host on one loop."""
+    """Run all components of a host on one event loop."""
 
     def __init__(self, *, settings: HostSettings) -> None:
         super().__init__()
@@ -37,7 +37,7 @@
         self._registry = StateRegistry()
 
     async def on_start(self) -> None:
-        """Build the parts and start them, inner ones first."""
+        """Create the components and start each after those that it depends on."""
         parts = make_parts(
             settings=self._settings,
             blackboard=self.blackboard,
@@ -50,7 +50,9 @@
         for service in services:
             await self.add_runtime_dependency(service)
         parts.timer.subscribe(
-            name="halted", interval_s=HALTED_CHECK_S, callback=self._check_halted
+            name="halted",
+            interval_s=HALTED_CHECK_INTERVAL_S,
+            callback=self._check_halted,
         )
         await self._announce()
 
@@ -92,10 +94,10 @@
         )
 
     async def run(self) -> None:
-        """Serve until told to drain, or until a part fails."""
-        ready = asyncio.create_task(self.wait_until_ready())
+        """Serve until a drain is requested or a component fails."""
+        ready_task = asyncio.create_task(self.wait_until_ready())
         await self.wait(self.drain_requested)
-        ready.cancel()
+        ready_task.cancel()
         if self.crashed:
             log_event(
                 Event.HOST_CRASHED,
@@ -106,15 +108,15 @@
         await self.drain()
 
     async def _check_halted(self) -> None:
-        # This host can't fold on, so it must not answer from a state that
-        # stands still. Its successor of the newer version takes over.
+        # This host cannot fold newer records, so it must not answer from an outdated
+        # state. A host of the newer version takes over.
         if self._parts.streams.is_halted():
             self.drain_requested.set()
 
     async def wait_until_ready(self) -> None:
-        """Wait until the log was read to its end, then serve."""
+        """Wait until the log has been read to its end, then start serving."""
         while not self._is_ready():
-            await asyncio.sleep(READY_POLL_S)
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
         self.blackboard.phase = Phase.SERVING
         log_event(Event.HOST_READY, host=self._settings.host)
 
@@ -123,31 +125,31 @@
         return announced and self._parts.streams.is_caught_up()
 
     async def drain(self) -> None:
-        """Take no new requests, finish those in flight and give draws back."""
+        """Stop accepting requests, finish those in flight and return the draws."""
         self.blackboard.phase = Phase.DRAINING
         log_event(Event.HOST_DRAINING, host=self._settings.host)
-        # The balancer needs a moment to see /health fail. Until then requests
-        # still come, and each is refused instead of finding a closed port.
-        grace_ends = self._parts.timer.now() + self._settings.drain_grace_s
-        ended = await self._parts.callers.drain(self._settings.drain_timeout_s)
+        # The balancer notices the failing /health after a delay. Requests that arrive
+        # until then are refused with a response instead of meeting a closed port.
+        grace_ends_at = self._parts.timer.now() + self._settings.drain_grace_s
+        all_ended = await self._parts.callers.drain(self._settings.drain_timeout_s)
         await self._parts.budget.budget.return_all(self._settings.flush_timeout_s)
         self._parts.streams.submit_config(
             HostDown(incarnation=self.blackboard.incarnation)
         )
         flushed = await self._flush()
-        if not ended or not flushed:
+        if not all_ended or not flushed:
             log_event(
                 Event.DRAIN_INCOMPLETE,
                 host=self._settings.host,
-                requests_ended=ended,
+                requests_ended=all_ended,
                 records_flushed=flushed,
             )
-        await asyncio.sleep(max(0.0, grace_ends - self._parts.timer.now()))
+        await asyncio.sleep(max(0.0, grace_ends_at - self._parts.timer.now()))
         await self._parts.callers.drain(self._settings.drain_timeout_s)
 
     async def _flush(self) -> bool:
-        # Bounded, for the log may be down for long. What was not handed back
-        # is released by the draws' witnesses once this host is gone.
+        # Bounded because a log outage may be long. The draws' witnesses release
+        # whatever was not returned once this host is gone.
         try:
             async with asyncio.timeout(self._settings.flush_timeout_s):
                 await self._parts.streams.flush()
@@ -162,5 +164,5 @@
         log_event(Event.HOST_STOPPED, host=self._settings.host)
 
     def write_dump(self) -> None:
-        """Write the whole state to standard error as one JSON line."""
+        """Write the state dump to standard error as one JSON line."""
         sys.stderr.write(json.dumps(self._registry.dump()) + "\n")
--- a/trefoilstage/phase.py
+++ b/trefoilstage/phase.py
@@ -1,10 +1,10 @@
-"""Name the stages of a host's life."""
+"""Define the life cycle of a host."""
 
 from enum import StrEnum
 
 
 class Phase(StrEnum):
-    """Name the stages of a host's life."""
+    """List the phases of a host's life cycle."""
 
     STARTING = "starting"
     SERVING = "serving"
--- a/trefoilstage/settings.py
+++ b/trefoilstage/settings.py
@@ -1,4 +1,4 @@
-"""Read a host's settings from TOML and check them at once."""
+"""Load and validate a host's settings from TOML."""
 
 import tomllib
 from pathlib import Path
@@ -16,7 +16,7 @@
 
 
 class HostSettings(BaseModel):
-    """Describe one host process: its name, addresses and outside services."""
+    """Describe a host process: its name, addresses, external services and policies."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -56,7 +56,7 @@
 
 
 def load_settings(path: Path) -> HostSettings:
-    """Return the settings in a file, or raise SettingsError with all findings."""
+    """Load settings from a file; raise SettingsError listing all validation errors."""
     try:
         tables = tomllib.loads(path.read_text())
         return HostSettings.model_validate(tables)
--- a/trefoilstage/timer.py
+++ b/trefoilstage/timer.py
@@ -1,4 +1,4 @@
-"""Call subscribers at their intervals."""
+"""Run periodic callbacks."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -12,7 +12,7 @@
 
 
 class TimerService(Service):
-    """Own every periodic call, so that parts hold no loops of their own."""
+    """Run all periodic callbacks, so that components need no loops of their own."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -25,7 +25,7 @@
     def subscribe(
         self, *, name: str, interval_s: float, callback: Callback
     ) -> Unsubscribe:
-        """Call back every interval until the returned function is called."""
+        """Run a callback at each interval until the returned function is called."""
         task = asyncio.create_task(self._run(name, interval_s, callback), name=name)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -37,11 +37,11 @@
             try:
                 await callback()
             except Exception as error:
-                # One failed tick must not end the subscription: a controller
-                # that stops silently keeps tokens that nobody gives back.
+                # One exception must not end the subscription: a controller whose
+                # callback stopped unnoticed would never return its tokens.
                 log_event(Event.TIMER_FAILED, name=name, error=describe_error(error))
 
     async def on_stop(self) -> None:
-        """Cancel what is still subscribed."""
+        """Cancel the remaining subscriptions."""
         for task in list(self._tasks):
             task.cancel()
