--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Provide the tests package."""
+"""Test trefoilstage."""
--- a/tests/answers.py
+++ b/tests/answers.py
@@ -1,4 +1,4 @@
-"""Read what a caller got."""
+"""Parse the answers that callers receive."""
 
 import hashlib
 import json
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallerAnswer:
-    """Hold what a caller got."""
+    """Represent the whole answer to a caller's request."""
 
     status: int
     body: bytes
@@ -40,16 +40,16 @@
 
     @property
     def text_digest(self) -> str:
-        """Return the text's digest, as an engine's meter gives it."""
+        """Return the SHA-256 of the text, as engines' meters report it."""
         return hashlib.sha256(self.text.encode()).hexdigest()
 
     @property
     def stream_error(self) -> dict[str, Any]:
-        """Return the error event that ends a broken stream."""
+        """Return the error from the event that ends a broken stream."""
         tail = self.body.rsplit(b"event: error\ndata: ", 1)[1]
         return dict(json.loads(tail)["error"])
 
     @property
     def is_whole_stream(self) -> bool:
-        """Tell whether an event stream came to its explicit end."""
+        """Return whether an event stream ends with the `[DONE]` marker."""
         return self.body.endswith(b"data: [DONE]\n\n")
--- a/tests/common.py
+++ b/tests/common.py
@@ -1,4 +1,4 @@
-"""Start small fleets for tests and call them as a caller would."""
+"""Run small fleets for tests and send requests to them as a caller does."""
 
 import asyncio
 import hashlib
@@ -27,7 +27,7 @@
 
 
 def make_config(engines: list[str], services: list[str], *, tokens: int) -> str:
-    """Return a configuration over the given engines and services."""
+    """Return a configuration with the given engine and service URLs."""
     lines = [
         "[workspaces.brest-school]",
         'budget = "brest"',
@@ -61,7 +61,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class Fleet:
-    """Hold a running fleet: a log, engines, a service and hosts."""
+    """Run a fleet with a log, engines, a service and hosts, each behind a proxy."""
 
     n_hosts: int = 3
     n_engines: int = 1
@@ -79,10 +79,10 @@
     more_config: str = ""
 
     async def __aenter__(self) -> Self:
-        # unittest runs its loop in debug mode, which keeps a stack for each task and
-        # handle. The proxies of twelve hosts run on that loop: beside busy processes
-        # single steps took up to 1.9 s, hosts timed out and called again, and the fleet
-        # was not ready in 30 s.
+        # unittest enables the event loop's debug mode, which records a stack for each
+        # task and handle. With the proxies of twelve hosts on that loop, single steps
+        # took up to 1.9 s on a busy machine, hosts timed out and retried, and the fleet
+        # was not ready within 30 s.
         asyncio.get_running_loop().set_debug(False)
         await self.launcher.__aenter__()
         try:
@@ -131,7 +131,7 @@
         await wait_for(self.is_ready, "the fleet to be ready")
 
     async def start_host(self, name: str) -> Running:
-        """Start one more host behind a proxy, with a source address of its own."""
+        """Start one more host behind a proxy, with its own source address."""
         number = int(name.rsplit("-", 1)[1])
         proxy = await self._add_proxy(name, 0)
         proxy.upstream_address = get_address(name)
@@ -153,29 +153,29 @@
         return proxy
 
     def cut(self, sources: list[Running], names: list[str]) -> None:
-        """Cut hosts from what stands behind the named proxies, both ways."""
+        """Block all traffic of hosts through the named proxies, both ways."""
         for name in names:
             self.proxies[name].cut(*(get_address(host.name) for host in sources))
 
     def cut_apart(self, side: list[Running], other: list[Running]) -> None:
-        """Cut two groups of hosts from each other."""
+        """Block all traffic between two groups of hosts."""
         self.cut(side, [host.name for host in other])
         self.cut(other, [host.name for host in side])
 
     def heal(self) -> None:
-        """Lift every cut."""
+        """Let all traffic pass again."""
         for proxy in self.proxies.values():
             proxy.heal()
 
     async def publish(self, name: str, content: str, operation: str = "publish") -> Any:
-        """Publish a file through the first host."""
+        """Publish a configuration file through the first host."""
         return await self.launcher.post_json(
             f"{self.hosts[0].operator_url}/config/publish",
             {"operation": f"{operation}-{name}", "name": name, "content": content},
         )
 
     async def is_ready(self) -> bool:
-        """Tell whether every host serves, with accounts and peers known."""
+        """Return whether every host serves and knows all accounts and peers."""
         for host in self.hosts:
             status = await self.launcher.get_json(f"{host.operator_url}/status")
             if status["phase"] != "serving" or status["revision"] < 0:
@@ -188,14 +188,14 @@
         return True
 
     async def get_budget(self, host: Running, name: str = "brest") -> dict[str, Any]:
-        """Return a budget as a host shows it."""
+        """Return a budget as a host's operator API reports it."""
         budgets = await self.launcher.get_json(f"{host.operator_url}/budgets")
         return next(item for item in budgets if item["name"] == name)
 
     async def list_executed(
         self, engine: Running | None = None
     ) -> list[dict[str, Any]]:
-        """Return the requests that an engine's own meter shows, or all engines'."""
+        """Return the requests on the meter of one engine, or of all engines."""
         meters = [
             await self.launcher.get_json(f"{item.url}/meter")
             for item in ([engine] if engine else self.engines)
@@ -205,7 +205,7 @@
     async def wait_for_spend(
         self, tokens: int, *, name: str = "brest", hosts: list[Running] | None = None
     ) -> None:
-        """Wait until hosts show a budget's spend."""
+        """Wait until hosts report a number of tokens as spent from a budget."""
         shown: list[int] = []
 
         async def is_shown() -> bool:
@@ -221,12 +221,12 @@
             raise AssertionError(f"spent {shown}, expected {tokens}") from error
 
     async def get_pool(self, host: Running, account: str) -> Any:
-        """Return a host's own view of its draws on an account, if it has one."""
+        """Return a host's state of its draws on an account, if it has any."""
         state = await self.launcher.get_json(f"{host.operator_url}/state")
         return state["BudgetController"]["pools"].get(account)
 
     async def count_executed(self) -> int:
-        """Return the tokens that the engines' own meters show."""
+        """Return the number of tokens on the meters of all engines."""
         meters = [
             await self.launcher.get_json(f"{engine.url}/meter")
             for engine in self.engines
@@ -234,17 +234,17 @@
         return sum(meter["tokens"] for meter in meters)
 
     async def get_ledger(self, host: Running) -> dict[str, Any]:
-        """Return a host's fold of the first ledger stream."""
+        """Return a host's folded state of the first ledger stream."""
         state = await self.launcher.get_json(f"{host.operator_url}/state")
         return dict(state["blackboard"]["ledgers"]["0"])
 
     async def list_executed_at(self, engine: Running) -> list[dict[str, Any]]:
-        """Return the requests that an engine's own meter shows."""
+        """Return the requests on an engine's meter."""
         meter = await self.launcher.get_json(f"{engine.url}/meter")
         return list(meter["requests"])
 
     async def list_power(self) -> list[tuple[float, int]]:
-        """Return the watts of all engines' meters together, change by change."""
+        """Return the changes of the engines' total watts as (time, new total)."""
         changes: list[tuple[float, int]] = []
         for engine in self.engines:
             meter = await self.launcher.get_json(f"{engine.url}/meter")
@@ -260,7 +260,7 @@
         return power
 
     async def list_effects(self) -> list[dict[str, Any]]:
-        """Return the effects that the service's own meter shows."""
+        """Return the effects on the service's meter."""
         meter = await self.launcher.get_json(f"{self.service.url}/meter")
         return list(meter["effects"])
 
@@ -274,7 +274,7 @@
         headers: dict[str, str] | None = None,
         text: str = "Which line holds in force six?",
     ) -> CallerAnswer:
-        """Send one chat request and read its whole answer."""
+        """Send a chat request and read its whole answer."""
         body = {
             "model": "assistant",
             "messages": [{"role": "user", "content": text}],
@@ -294,7 +294,7 @@
         method: str = "POST",
         secret: str = SECRET,
     ) -> CallerAnswer:
-        """Call an operation of the booking service that may not be repeated."""
+        """Call an operation of the booking service with an idempotency key."""
         return await self.call(
             host,
             f"/services/booking/{operation}",
@@ -305,12 +305,12 @@
         )
 
     async def control(self, running: Running, **orders: object) -> None:
-        """Order a stand-in's speed and faults; what is not named is reset."""
+        """Set a stand-in's speed and faults; settings that are not named are reset."""
         answer = await self.launcher.post_json(f"{running.url}/control", orders)
         assert answer == {"ok": True}, answer
 
     async def get_intent(self, host: Running, key: str) -> dict[str, Any] | None:
-        """Return what a host has folded of a booking's key."""
+        """Return the state of a booking's intent as a host has folded it."""
         state = await self.launcher.get_json(f"{host.operator_url}/state")
         digest = hash_request_key("brest-school", key)
         for ledger in state["blackboard"]["ledgers"].values():
@@ -319,14 +319,14 @@
         return None
 
     def pick_key(self, home: Running) -> str:
-        """Return an idempotency key whose home is the given host."""
+        """Return an idempotency key that has the given host as its home."""
         names = [host.name for host in self.hosts]
         for number in itertools.count():
             key = f"briefing-{number}"
             digest = hash_request_key("brest-school", key)
             if rank_by_rendezvous(digest, names)[0] == home.name:
                 return key
-        raise AssertionError("no key")
+        raise AssertionError("no key has this host as its home")
 
     async def call(
         self,
@@ -338,7 +338,7 @@
         headers: dict[str, str] | None = None,
         method: str = "POST",
     ) -> CallerAnswer:
-        """Send JSON as a caller and read the whole answer."""
+        """Send a JSON request as a caller and read the whole answer."""
         async with self.launcher.session.request(
             method,
             f"{host.caller_url}{path}",
@@ -353,12 +353,12 @@
 
 
 def get_address(name: str) -> str:
-    """Return the loopback address of a host, which names it to the proxies."""
+    """Return a host's loopback address, by which the proxies identify it."""
     return f"127.0.1.{int(name.rsplit('-', 1)[1]) + 1}"
 
 
 def pack_state(adapter: TypeAdapter[Any], state: Any) -> PackedState:
-    """Return a state's checkpoint form, as a host writes it."""
+    """Return a state as a host packs it into a checkpoint."""
     dumped = dump_state(adapter, state, state.next_offset)
     return asyncio.run(compress_state(dumped))
 
--- a/tests/components/__init__.py
+++ b/tests/components/__init__.py
@@ -1,1 +1,1 @@
-"""Provide the components package."""
+"""Test the components of a host."""
--- a/tests/components/boards.py
+++ b/tests/components/boards.py
@@ -1,4 +1,4 @@
-"""Make boards of hosts that have heard each other."""
+"""Create boards of hosts that have received each other's heartbeats."""
 
 from collections.abc import Iterable
 
@@ -7,7 +7,7 @@
 
 
 def make_board(name: str, names: Iterable[str]) -> FleetBoard:
-    """Return the board of one host that has heard all others at time 0."""
+    """Create a host's board on which all other hosts were heard at time 0."""
     board = FleetBoard(
         host=name, incarnation=name, data_center="brest", phase=Phase.SERVING
     )
--- a/tests/emulator/__init__.py
+++ b/tests/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Test the emulator, and policies on the loads that it plays."""
+"""Test the emulator, and policies under the loads that it generates."""
--- a/tests/fuzz/__init__.py
+++ b/tests/fuzz/__init__.py
@@ -1,1 +1,1 @@
-"""Provide the fuzz tests package."""
+"""Test with randomly generated input."""
--- a/tests/kept_lines.py
+++ b/tests/kept_lines.py
@@ -1,4 +1,4 @@
-"""Keep what the processes of a failed test wrote."""
+"""Save the output of a failed test's processes."""
 
 import sys
 import uuid
@@ -9,9 +9,9 @@
 
 
 def keep_lines(lines_by_name: Mapping[str, Sequence[str]]) -> None:
-    """Write the lines of each process to a folder of their own, to trace it by."""
+    """Write each process's lines to a file in a new folder for debugging."""
     folder = ROOT / "results" / f"failed-{uuid.uuid4().hex[:8]}"
     folder.mkdir(parents=True)
     for name, lines in lines_by_name.items():
         (folder / f"{name}.log").write_text("\n".join(lines) + "\n")
-    sys.stderr.write(f"lines of the failed fleet: {folder.name}\n")
+    sys.stderr.write(f"output of the failed fleet saved in results/{folder.name}\n")
--- a/tests/ledger/__init__.py
+++ b/tests/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""Provide the ledger package."""
+"""Test the ledger package."""
--- a/tests/promises/__init__.py
+++ b/tests/promises/__init__.py
@@ -1,1 +1,1 @@
-"""Provide the promises package."""
+"""Test the guarantees to users on fleets of real processes."""
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Soak real hosts in random faults and check the promises while they run."""
+"""Run real hosts under random faults and check the guarantees meanwhile."""
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""Check the examples and that the documents name everything there is."""
+"""Test the example configurations and that the documents list every name."""
 
 import re
 import tomllib
@@ -23,40 +23,40 @@
 from trefoilstage.settings import HostSettings, load_settings
 
 EXAMPLES = sorted((ROOT / "examples").iterdir())
-ENTRY_NAMES: set[tuple[str, ...]] = {
+SECTIONS_OF_NAMED_ENTRIES: set[tuple[str, ...]] = {
     ("workspaces",),
     ("budgets",),
     ("sites",),
     ("models",),
     ("targets",),
 }
-ENTRY_NAMES |= {("services",), ("services", "operations")}
+SECTIONS_OF_NAMED_ENTRIES |= {("services",), ("services", "operations")}
 
 
 def list_keys(tables: dict[str, Any], path: tuple[str, ...] = ()) -> Iterator[str]:
-    """Yield the dotted keys of tables without the names of entries."""
+    """Yield the dotted keys of tables, leaving out the names of entries."""
     for key, value in tables.items():
         here = (*path, key)
         if not isinstance(value, dict):
             yield ".".join(here)
             continue
-        inner = list(value.values()) if here in ENTRY_NAMES else [value]
+        inner = list(value.values()) if here in SECTIONS_OF_NAMED_ENTRIES else [value]
         for table in inner:
             yield from list_keys(table, here)
 
 
 def list_model_keys(model: type[BaseModel], path: tuple[str, ...]) -> Iterator[str]:
-    """Yield the dotted keys that a section and its own sections take."""
+    """Yield the dotted keys that a model and its nested models accept."""
     for name, info in model.model_fields.items():
-        found = find_model(info.annotation)
+        found = find_nested_model(info.annotation)
         if path:
             yield ".".join((*path, name))
         if found is not None:
             yield from list_model_keys(found, (*path, name))
 
 
-def find_model(annotation: Any) -> type[BaseModel] | None:
-    """Return the section that an annotation holds."""
+def find_nested_model(annotation: Any) -> type[BaseModel] | None:
+    """Return the model class in an annotation, if there is one."""
     for part in (annotation, *typing.get_args(annotation)):
         if isinstance(part, type) and issubclass(part, BaseModel):
             return part
@@ -64,7 +64,7 @@
 
 
 def list_kinds(union: Any) -> set[str]:
-    """Return the kinds of a union's members."""
+    """Return the `kind` values of a union's members."""
     assert isinstance(union, types.UnionType)
     return {member.__dataclass_fields__["kind"].default for member in union.__args__}
 
@@ -75,9 +75,9 @@
 
 
 class ExamplesTest(unittest.TestCase):
-    """Check both users' configurations."""
+    """Test the example configurations of both users."""
 
-    def test_examples_are_good(self) -> None:
+    def test_examples_are_valid(self) -> None:
         self.assertEqual([path.name for path in EXAMPLES], ["armor", "lima"])
         sizes = []
         for path in EXAMPLES:
@@ -92,7 +92,7 @@
             sizes.append((len(places), len(result.configuration.targets), n_servers))
         self.assertEqual(sizes, [(3, 9, 3), (4, 9, 4)])
 
-    def test_a_folder_is_good_up_to_any_file(self) -> None:
+    def test_each_prefix_of_the_files_is_valid(self) -> None:
         for path in EXAMPLES:
             files: dict[str, str] = {}
             for item in sorted(path.glob("config/*.toml")):
@@ -111,7 +111,7 @@
 
 
 class DocumentsTest(unittest.TestCase):
-    """Compare the documents' lists with the program's."""
+    """Test that the documents' tables match the program."""
 
     def test_operating_page_names_everything(self) -> None:
         lists = {
@@ -138,7 +138,7 @@
             with self.subTest(heading):
                 self.assertEqual(kinds, documented)
 
-    def test_links_lead_somewhere(self) -> None:
+    def test_link_targets_exist(self) -> None:
         for page in [ROOT / "README.md", *(ROOT / "docs").rglob("*.md")]:
             for link in re.findall(r"\]\(([^)#:]+)[^):]*\)", page.read_text()):
                 self.assertTrue((page.parent / link).exists(), f"{page}: {link}")
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""Show the whole path from a caller to a settled budget."""
+"""Test the whole path from a caller's request to the settled budget."""
 
 import json
 import unittest
@@ -8,7 +8,7 @@
 
 
 class PathTest(unittest.IsolatedAsyncioTestCase):
-    """Send requests through three hosts."""
+    """Test requests through three hosts."""
 
     async def test_streamed_request_is_answered_whole_and_settled(self) -> None:
         async with Fleet() as fleet:
