--- a/trefoilstage/assembly.py
+++ b/trefoilstage/assembly.py
@@ -58,8 +58,8 @@
     budget: BudgetParts
     targets: TargetParts
     keys: KeyController
-    callers: CallerServer
-    operators: OperatorServer
+    caller_server: CallerServer
+    operator_server: OperatorServer
     metrics: MetricsController
 
     def list_services(self) -> list[Service]:
@@ -80,8 +80,8 @@
             self.targets.roles,
             self.targets.admission,
             self.keys,
-            self.callers,
-            self.operators,
+            self.caller_server,
+            self.operator_server,
             self.metrics,
         ]
 
@@ -177,14 +177,14 @@
         budget=budget,
         targets=targets,
         keys=keys,
-        callers=CallerServer(
+        caller_server=CallerServer(
             blackboard=blackboard,
             keys=keys,
             bookings=bookings,
             address=settings.address,
             port=settings.caller_port,
         ),
-        operators=OperatorServer(
+        operator_server=OperatorServer(
             blackboard=blackboard,
             streams=log_parts.streams,
             registry=registry,
--- a/trefoilstage/fleet_host.py
+++ b/trefoilstage/fleet_host.py
@@ -109,10 +109,12 @@
             port=settings.metrics_port,
             get_accounts=self._home.list_accounts,
             count_active=lambda: self._server.n_active,
-            count_blocked=lambda: len(parts.crashes.evidence.blocked_fingerprints),
+            count_blocked=lambda: len(
+                parts.crash_watcher.evidence.blocked_fingerprints
+            ),
         )
         self._registry.register("board", lambda: self._board)
-        self._registry.register("crashes", parts.crashes.evidence.get_seen_times)
+        self._registry.register("crashes", parts.crash_watcher.evidence.get_seen_times)
         self._registry.register("settings", lambda: settings)
         self._registry.register("accounts", self._home.list_accounts)
         services: list[Service] = [parts.timer, metrics, links, peers]
--- a/trefoilstage/fleet_parts.py
+++ b/trefoilstage/fleet_parts.py
@@ -58,12 +58,12 @@
     timer: TimerService
     followers: Mapping[Topic, ViewFollower]
     membership: FleetMembership
-    keeper: LockKeeper
+    lock_keeper: LockKeeper
     home: EscrowHome
     escrow: EscrowClient
     workload: WorkloadController
-    recorder: CrashRecorder
-    crashes: CrashWatcher
+    crash_recorder: CrashRecorder
+    crash_watcher: CrashWatcher
     pipeline: ForwardingPipeline
 
     def list_services(self) -> list[Service]:
@@ -71,12 +71,12 @@
         return [
             *self.followers.values(),
             self.membership,
-            self.keeper,
+            self.lock_keeper,
             self.home,
             self.escrow,
             self.workload,
-            self.recorder,
-            self.crashes,
+            self.crash_recorder,
+            self.crash_watcher,
         ]
 
 
@@ -100,7 +100,7 @@
         if topic is Topic.HOSTS:
             membership.take_records(records)
         elif topic is Topic.CRASHES:
-            crashes.apply_records(records)
+            crash_watcher.apply_records(records)
             followers[topic].view.trim(MAX_CRASHES)
         else:
             watcher.take(topic, records, asyncio.get_running_loop().time())
@@ -137,7 +137,7 @@
         recovery=recovery,
         lock=lock,
     )
-    keeper = LockKeeper(
+    lock_keeper = LockKeeper(
         board=board,
         store=store,
         timer=timer,
@@ -164,16 +164,16 @@
         timer=timer,
         workload=workload,
     )
-    recorder = CrashRecorder(
+    crash_recorder = CrashRecorder(
         board=board,
         store=store,
         links=links,
         list_live_hosts=membership.list_live,
     )
-    crashes = CrashWatcher(
+    crash_watcher = CrashWatcher(
         host=board.host,
         probe=probe,
-        recorder=recorder,
+        recorder=crash_recorder,
         server=peers,
         timer=timer,
         list_live_hosts=membership.list_live,
@@ -183,19 +183,19 @@
         escrow=escrow,
         chooser=chooser,
         sender=sender,
-        crashes=crashes,
+        crashes=crash_watcher,
         generator=generator,
     )
     return FleetParts(
         timer=timer,
         followers=followers,
         membership=membership,
-        keeper=keeper,
+        lock_keeper=lock_keeper,
         home=home,
         escrow=escrow,
         workload=workload,
-        recorder=recorder,
-        crashes=crashes,
+        crash_recorder=crash_recorder,
+        crash_watcher=crash_watcher,
         pipeline=pipeline,
     )
 
--- a/trefoilstage/host.py
+++ b/trefoilstage/host.py
@@ -70,8 +70,8 @@
         record = HostUp(
             host=self._settings.host,
             data_center=self._settings.data_center,
-            caller_url=f"http://{address}:{self._parts.callers.port}",
-            operator_url=f"http://{address}:{self._parts.operators.port}",
+            caller_url=f"http://{address}:{self._parts.caller_server.port}",
+            operator_url=f"http://{address}:{self._parts.operator_server.port}",
             peer_url=self._settings.advertised_peer_url or peer_url,
         )
         self._parts.membership.set_announcement(record)
@@ -88,8 +88,8 @@
             Event.HOST_STARTED,
             host=self._settings.host,
             incarnation=self.blackboard.incarnation,
-            caller_port=self._parts.callers.port,
-            operator_port=self._parts.operators.port,
+            caller_port=self._parts.caller_server.port,
+            operator_port=self._parts.operator_server.port,
             peer_port=self._parts.peer_server.port,
         )
 
@@ -131,7 +131,9 @@
         # The balancer notices the failing /health after a delay. Requests that arrive
         # until then are refused with a response instead of meeting a closed port.
         grace_ends_at = self._parts.timer.now() + self._settings.drain_grace_s
-        all_ended = await self._parts.callers.drain(self._settings.drain_timeout_s)
+        all_ended = await self._parts.caller_server.drain(
+            self._settings.drain_timeout_s
+        )
         await self._parts.budget.budget.return_all(self._settings.flush_timeout_s)
         self._parts.streams.submit_config(
             HostDown(incarnation=self.blackboard.incarnation)
@@ -145,7 +147,7 @@
                 records_flushed=flushed,
             )
         await asyncio.sleep(max(0.0, grace_ends_at - self._parts.timer.now()))
-        await self._parts.callers.drain(self._settings.drain_timeout_s)
+        await self._parts.caller_server.drain(self._settings.drain_timeout_s)
 
     async def _flush(self) -> bool:
         # Bounded because a log outage may be long. The draws' witnesses release
