--- a/tests/components/test_draw_pool.py
+++ b/tests/components/test_draw_pool.py
@@ -1,4 +1,4 @@
-"""Test a draw's pool without sockets."""
+"""Test how a host counts the tokens of one draw."""
 
 import unittest
 
--- a/tests/components/test_policy.py
+++ b/tests/components/test_policy.py
@@ -34,9 +34,9 @@
     def test_stock_is_kept_for_seconds_without_a_request(self) -> None:
         """Guard against a refusal after seconds without a request and a lost log.
 
-        A host that gave its stock back in such seconds refused its next request
-        with plenty free. It now keeps a stock within twice its share for longer,
-        and gives back immediately what is scarce or was unused for long.
+        A host that had given back its stock by then refused its next request,
+        although plenty was free. It now keeps a stock within twice its share for
+        longer, and gives back immediately what is scarce or was unused for long.
         """
         self.assertEqual(self.policy.compute_surplus(PLENTIFUL, STOCK), 0)
         scarce = dataclasses.replace(PLENTIFUL, free=10_000)
--- a/trefoilstage/components/budget/account_pool.py
+++ b/trefoilstage/components/budget/account_pool.py
@@ -16,31 +16,32 @@
 class AccountPool:
     """Open, use, retire and drop a host's draws on one account.
 
-    `number` is that of the ledger stream that stores the account.
+    `number` is that of the ledger stream that stores the account. Amounts are in
+    tokens, or in watts if `returnable`.
     """
 
     account: str
     number: int
-    prefix: str
+    prefix: str  # of the draws' names
     returnable: bool = False
     current: DrawPool | None = None
     retired: list[DrawPool] = field(default_factory=list)
     n_opened: int = 0
-    drawn: int = 0
-    lost_witness: str = ""
-    asked_until: float = 0.0
-    waiting: int = 0
-    demand: float = 0.0
-    demand_rate: float = 0.0
-    n_idle: int = 0
+    drawn: int = 0  # granted to this host, less what it has given back
+    lost_witness: str = ""  # the last witness that did not respond
+    asked_until: float = 0.0  # until then, unheld amounts go to a starved peer
+    waiting: int = 0  # the amount that requests wait for
+    demand: float = 0.0  # the amount requested since the last update of the rate
+    demand_rate: float = 0.0  # per second
+    n_idle: int = 0  # successive updates of the rate without demand
 
     @property
     def held(self) -> int:
-        """Return what running requests hold."""
+        """Return the amount that running requests hold."""
         return sum(draw.held for draw in self.list_draws())
 
     def list_draws(self) -> list[DrawPool]:
-        """Return the draws that are not closed yet."""
+        """Return the current draw and the retired ones that are not dropped yet."""
         current = [self.current] if self.current is not None else []
         return [*self.retired, *current]
 
@@ -78,7 +79,7 @@
             self.retire_current()
 
     def count_usable(self, draws: DrawStates) -> int:
-        """Return what new requests may hold."""
+        """Return the amount that new requests may hold."""
         self.retire_if_closed(draws)
         draw = self.current
         if draw is None:
@@ -87,7 +88,7 @@
         return draw.count_usable(state.amount) if state is not None else 0
 
     def make_draw(self, *, amount: int, minimum: int, witness: str) -> Draw:
-        """Return the record that asks the log for more."""
+        """Return the record that requests an amount from the log."""
         draw = self.get_or_open_draw(witness)
         draw.n_drawing += 1
         return Draw(
@@ -109,7 +110,7 @@
         draw.granted = draw.granted or amount > 0 or name in draws
 
     def make_return(self, amount: int) -> Return | None:
-        """Return the record that gives unheld tokens back, or None."""
+        """Return the record that gives an unheld amount back, or None."""
         draw = self.current
         if draw is None or draw.returning or amount <= 0:
             return None
--- a/trefoilstage/components/budget/accounts.py
+++ b/trefoilstage/components/budget/accounts.py
@@ -21,7 +21,7 @@
         return self._blackboard.ledgers[pool.number]
 
     def is_log_reachable(self, pool: AccountPool) -> bool:
-        """Return whether this host still reads the account's ledger."""
+        """Return whether this host can read the account's ledger at present."""
         return self._blackboard.streams[
             f"{LEDGER_STREAM_PREFIX}{pool.number}"
         ].reachable
@@ -32,13 +32,13 @@
         return accounts.get(pool.account) or AccountState()
 
     def get_preference(self, pool: AccountPool) -> Preference:
-        """Return which error the account's owner wants to avoid."""
+        """Return whether the account's owner prefers to avoid refusals or overspend."""
         name = pool.account.removeprefix(BUDGET_ACCOUNT_PREFIX)
         budget = self._blackboard.configuration.budgets.get(name)
         return budget.preference if budget else Preference.AVOID_OVERSPEND
 
     def count_usable(self, pool: AccountPool) -> int:
-        """Return what new requests may hold without another draw."""
+        """Return the amount that new requests may hold without another draw."""
         return pool.count_usable(self.get_ledger(pool).draws)
 
     def count_unspent(self, pool: AccountPool) -> int:
--- a/trefoilstage/components/budget/controller.py
+++ b/trefoilstage/components/budget/controller.py
@@ -165,7 +165,7 @@
             draw.settle_hold(reservation.number, min(tokens, reservation.tokens))
 
     def count_usable(self, account: str) -> int:
-        """Return what this host may hold of an account without another draw."""
+        """Return the amount that new requests may hold without another draw."""
         pool = self._get_pool(account)
         return self._accounts.count_usable(pool)
 
@@ -185,7 +185,7 @@
         self._return_tokens(pool, self._accounts.count_usable(pool))
 
     def retire_draw(self, account: str) -> None:
-        """Retire the current draw; no existing fence covers the draw opened next."""
+        """Retire the current draw; the next one is opened after all existing fences."""
         self._get_pool(account).retire_current()
 
     async def return_all(self, timeout_s: float) -> None:
@@ -221,8 +221,8 @@
         )
 
     async def _return_to_starved_peers(self) -> None:
-        # The tokens that a peer lacks come free here in small amounts, as requests
-        # end below their worst case. Each amount alone is too small for a request.
+        # Tokens come free here in small amounts, as requests spend less than they held.
+        # Each amount alone is too small for a request of the starved peer.
         for pool in self._pools.values():
             if self._timer.now() < pool.asked_until:
                 self._return_tokens(pool, self._accounts.count_usable(pool))
@@ -287,8 +287,9 @@
         draw = pool.current
         if draw is None:
             return
-        # A draw that was opened without live peers, or whose witness is lost, would
-        # be lost whole with this host. A new draw has a live witness.
+        # If this host is lost, a draw without a live witness is lost in full: one that
+        # was opened without live peers, or whose witness is lost. A new draw has a
+        # live witness.
         reachable = self._accounts.is_log_reachable(pool)
         if reachable and self._peers.has_better_witness(draw.witness):
             log_event(Event.WITNESS_LOST, draw=draw.draw, witness=draw.witness)
--- a/trefoilstage/components/budget/draw_pool.py
+++ b/trefoilstage/components/budget/draw_pool.py
@@ -1,8 +1,9 @@
-"""Account for the tokens of one draw on its holder; pure, with no clock.
+"""Count the tokens of one draw at the host that holds it; pure, with no clock.
 
 A hold reserves the most that one request may spend. The draw's witness is a
-peer host that confirms each hold; if the holder is lost, the witness closes
-the draw from its own table of holds.
+peer host that confirms each hold; if the holder is lost, the witness seals
+the draw by its own table of holds. A bound is the message that reports ended
+holds to the witness and asks it to allow new ones.
 """
 
 from collections import deque
@@ -68,27 +69,30 @@
     witness: str
     spent: int = 0
     held: int = 0
-    returning: int = 0
-    sequence: int = 0
+    returning: int = 0  # the amount of the return record in flight
+    sequence: int = 0  # the number of the last bound
     retired: bool = False
-    granted: bool = False
-    n_drawing: int = 0
-    settling: bool = False
-    dropped: bool = False
-    n_holds: int = 0
+    granted: bool = False  # whether the log has opened the draw
+    n_drawing: int = 0  # draw records in flight
+    settling: bool = False  # whether a settlement is in flight
+    dropped: bool = False  # whether an entry was dropped from `unbilled`
+    n_holds: int = 0  # holds made so far
     holds: dict[int, Hold] = field(default_factory=dict)
     unconfirmed: dict[int, Hold] = field(default_factory=dict)
+    # Ended requests that the log has not counted yet.
     unbilled: deque[EndedRequest] = field(default_factory=deque)
+    # Ended requests that the witness has not confirmed yet.
     unwitnessed: deque[EndedRequest] = field(default_factory=deque)
+    # Addresses, to which holds refer by index.
     targets: list[str] = field(default_factory=list)
 
     @property
     def committed(self) -> int:
-        """Return what is spent or may still be spent by running requests."""
+        """Return the amount spent, plus what running requests may still spend."""
         return self.spent + self.held
 
     def count_usable(self, amount: int) -> int:
-        """Return what new requests may hold, given the draw's amount in the ledger."""
+        """Return how much new requests may hold, given the draw's amount in the log."""
         if self.retired:
             return 0
         return amount - self.returning - self.committed
@@ -98,9 +102,8 @@
     ) -> Hold:
         """Hold tokens for a request; the hold is confirmed if there is no witness."""
         self.n_holds += 1
-        # Several targets may share an address. If it were asked once for each of
-        # them, it would report the same spend each time, and a retry would be
-        # overbilled.
+        # Several targets may share an address. A recovering host that asked it once
+        # for each of them would count the same spend each time, and overbill a retry.
         numbers = dict.fromkeys(self._index_target(target) for target in targets)
         hold = Hold(
             number=self.n_holds,
@@ -133,8 +136,8 @@
         if tokens > 0:
             self.unbilled.append(ended_request)
         # Entries accumulate while the log is unreachable. Dropping the oldest
-        # bounds the memory. The total still charges them, so nothing is spent
-        # unpaid; only a later retry with the key of a dropped entry pays twice.
+        # bounds the memory. The draw's total still includes them, so all spend is
+        # billed; only a later retry with the key of a dropped entry is billed twice.
         while len(self.unbilled) > MAX_UNBILLED:
             self.unbilled.popleft()
             self.dropped = True
@@ -147,7 +150,7 @@
         self.unwitnessed.clear()
 
     def propose_bound(self, stream: int) -> Bound | None:
-        """Return the message for the witness, or None when nothing changed."""
+        """Return the next bound for the witness, or None if nothing has changed."""
         ended = list(islice(self.unwitnessed, MAX_ENTRIES_PER_MESSAGE))
         opened = list(islice(self.unconfirmed.values(), MAX_ENTRIES_PER_MESSAGE))
         if not ended and not opened:
--- a/trefoilstage/components/budget/draw_requester.py
+++ b/trefoilstage/components/budget/draw_requester.py
@@ -1,4 +1,4 @@
-"""Obtain tokens from the log, or refuse immediately when there are none."""
+"""Draw tokens from the log, wait for those of peers, or refuse a request."""
 
 import asyncio
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 PEER_ASK_INTERVAL_S = 0.3
 UNREACHABLE_LOG_WAIT_S = 0.2
-RETRY_AFTER_HELD_S = 2.0
+RETRY_AFTER_DRAWN_S = 2.0
 RETRY_AFTER_EXHAUSTED_S = 30.0
 RETRY_AFTER_LOG_S = 2.0
 LOG_UNAVAILABLE_REFUSAL = Refusal(
@@ -33,7 +33,7 @@
 
 
 class DrawRequester:
-    """Draw for waiting requests, with at most one record in flight per account."""
+    """Draw for waiting requests, with at most one draw in flight per account."""
 
     def __init__(
         self,
@@ -116,7 +116,10 @@
         task.add_done_callback(self._ask_tasks.discard)
 
     def draw_ahead(self, pool: AccountPool) -> None:
-        """Draw below the low-water mark, so that no request waits for the log."""
+        """Start a draw if the usable amount is below the low-water mark.
+
+        Requests then do not need to wait for the log.
+        """
         snapshot = self._accounts.take_snapshot(pool)
         low_water_mark = self._policy.compute_low_water_mark(snapshot)
         if (
@@ -127,13 +130,13 @@
         self._start_draw(pool, low_water_mark)
 
     def _make_refusal(self, pool: AccountPool) -> Refusal:
-        # Tokens held by running requests may come back within seconds. With none
-        # held, only a top-up helps, and an early retry is useless.
-        has_held_tokens = self._accounts.get_account(pool).held > 0
+        # Tokens in the hosts' draws may come free within seconds, as requests end. If
+        # there are none, only a top-up helps, and an early retry is refused again.
+        has_drawn_tokens = self._accounts.get_account(pool).held > 0
         return Refusal(
             reason=Reason.BUDGET_EXHAUSTED,
-            retry_after_s=RETRY_AFTER_HELD_S
-            if has_held_tokens
+            retry_after_s=RETRY_AFTER_DRAWN_S
+            if has_drawn_tokens
             else RETRY_AFTER_EXHAUSTED_S,
         )
 
@@ -171,9 +174,9 @@
         witness = self._peers.pick_witness(pool.lost_witness)
         record = pool.make_draw(amount=amount, minimum=minimum, witness=witness)
         verdict = await self._streams.submit_ledger(pool.number, record).future
-        granted = verdict.amount if isinstance(verdict, Accepted) else 0
+        granted_amount = verdict.amount if isinstance(verdict, Accepted) else 0
         pool.apply_draw_verdict(
-            record.draw, granted, self._accounts.get_ledger(pool).draws
+            record.draw, granted_amount, self._accounts.get_ledger(pool).draws
         )
         log_draw(record, verdict)
         return DrawResult(tokens=tokens, verdict=verdict)
--- a/trefoilstage/components/budget/messages.py
+++ b/trefoilstage/components/budget/messages.py
@@ -12,7 +12,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Bound:
-    """Report ended holds to a draw's witness and ask it to allow new ones."""
+    """Report ended holds to a draw's witness and ask it to allow new ones.
+
+    `before` is the draw's total spend before the ended requests.
+    """
 
     draw: Name
     stream: Tokens
@@ -26,7 +29,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class BoundReply:
-    """Answer a bound; the witness may not have read an unknown draw yet."""
+    """Answer a bound; `known` is false if the witness's log lacks the draw."""
 
     allowed: bool
     known: bool = True
--- a/trefoilstage/components/budget/peers.py
+++ b/trefoilstage/components/budget/peers.py
@@ -35,7 +35,7 @@
         self._generator = generator
 
     def pick_witness(self, lost: str) -> str:
-        """Return a live peer's incarnation, one in this data centre if possible."""
+        """Return a live peer's incarnation, or NO_WITNESS; prefer this data centre."""
         live = self._blackboard.list_live_peers()
         if self._recovery is RecoveryPolicy.COUNT_AS_SPENT or not live:
             return NO_WITNESS
--- a/trefoilstage/components/budget/policy.py
+++ b/trefoilstage/components/budget/policy.py
@@ -39,6 +39,7 @@
 class AccountSnapshot:
     """Describe an account as one host sees it; amounts in tokens or watts.
 
+    `free` is what no host has drawn or spent, `held` what this host's requests hold.
     `returnable` marks watts, which come free again when their request ends.
     """
 
@@ -73,9 +74,9 @@
         """Return the amount that a host may keep beyond what its requests hold."""
         if snapshot.returnable:
             return snapshot.held // RETURNABLE_STOCK_DIVISOR
-        # While much is free, a host keeps a stock for minutes of its own demand,
-        # so that no request is refused in an outage of the log. The stock shrinks
-        # with the free amount, since an unused stock makes other hosts refuse
+        # While much of the account is free, a host keeps a stock for minutes of its
+        # own demand, so that no request is refused in an outage of the log. The stock
+        # shrinks with the free amount, since an unused stock makes other hosts refuse
         # requests.
         stock_share = STOCK_FREE_SHARE[snapshot.preference] / snapshot.n_hosts
         demand_tokens = snapshot.demand_rate * MAX_STOCK_DEMAND_S
@@ -96,7 +97,7 @@
         """Return the amount to give back without a request from a peer."""
         if self.kind is BudgetPolicy.STATIC_SPLIT or usable <= 0:
             return 0
-        # The limit was lowered below what the hosts hold.
+        # A limit that was lowered below the drawn amount makes the free one negative.
         if snapshot.free < 0:
             return min(usable, -snapshot.free)
         if snapshot.held == 0 and snapshot.idle_s >= self._get_idle_limit_s(
--- a/trefoilstage/components/budget/recovery.py
+++ b/trefoilstage/components/budget/recovery.py
@@ -25,7 +25,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class Sighting:
-    """Describe a holder's latest record sequence and since when it is unchanged."""
+    """Describe a holder's latest sequence number and since when it is unchanged."""
 
     sequence: int
     since: float
@@ -102,7 +102,7 @@
         return not is_live and now - sighting.since >= self._grace_s
 
     def _is_responsible(self, name: str, draw: DrawState) -> bool:
-        # Any host may ask the targets, and asking twice is harmless; one is enough.
+        # It is enough that one host asks the targets; if two do, it is harmless.
         live = [entry.incarnation for entry in self._blackboard.list_live_peers()]
         live.append(self._blackboard.incarnation)
         if draw.witness in live:
@@ -128,16 +128,16 @@
         draw: DrawState,
         holds: list[tuple[int, DoubtfulHold]],
     ) -> None:
-        answers = await asyncio.gather(
+        spent_amounts = await asyncio.gather(
             *(self._cancel_at_targets(draw, hold) for _, hold in holds)
         )
         returnable = draw.account.startswith(SITE_ACCOUNT_PREFIX)
         requests = tuple(
             BilledRequest(
-                key=hold.key, tokens=0 if returnable else answer, number=hold_number
+                key=hold.key, tokens=0 if returnable else spent, number=hold_number
             )
-            for (hold_number, hold), answer in zip(holds, answers, strict=True)
-            if answer is not None
+            for (hold_number, hold), spent in zip(holds, spent_amounts, strict=True)
+            if spent is not None
         )
         if not requests:
             return
@@ -153,13 +153,13 @@
     async def _cancel_at_targets(
         self, draw: DrawState, hold: DoubtfulHold
     ) -> int | None:
-        """Return what all targets spent, or None while one has no final figure."""
+        """Return what all targets spent, or None while one reports no final amount."""
         calls = [
             self._cancel(draw.targets[index], hold.request) for index in hold.targets
         ]
         total = 0
-        for answer in await asyncio.gather(*calls):
-            if answer is None:
+        for spent in await asyncio.gather(*calls):
+            if spent is None:
                 return None
-            total += answer
+            total += spent
         return total
--- a/trefoilstage/components/budget/setup.py
+++ b/trefoilstage/components/budget/setup.py
@@ -97,12 +97,15 @@
 
 
 def make_canceller(targets: TargetClient) -> Canceller:
-    """Return a function that ends a request at an address and returns its tokens."""
+    """Return a function that cancels a request at an address and returns its spend.
+
+    It returns None if the request may still run, or if the target does not respond.
+    """
 
     async def cancel(url: str, request: str) -> int | None:
         target = TargetConfig.model_construct(url=url)
-        answer = await targets.cancel(target, request)
+        status = await targets.cancel(target, request)
         # A request that has not ended may still spend tokens.
-        return answer.usage.total if answer and answer.ended else None
+        return status.usage.total if status and status.ended else None
 
     return cancel
--- a/trefoilstage/components/budget/witness.py
+++ b/trefoilstage/components/budget/witness.py
@@ -4,7 +4,10 @@
 
 from trefoilstage.blackboard import Blackboard
 from trefoilstage.components.budget.messages import Bound
-from trefoilstage.components.budget.witness_table import NOT_READ_YET, WitnessTable
+from trefoilstage.components.budget.witness_table import (
+    UNKNOWN_DRAW_REPLY,
+    WitnessTable,
+)
 from trefoilstage.components.log_client.streams import Streams
 from trefoilstage.components.peers.messages import PeerMessage
 from trefoilstage.components.peers.server import PeerServer
@@ -52,7 +55,7 @@
     async def _handle_bound(self, message: Bound) -> PeerMessage:
         ledger = self._blackboard.ledgers.get(message.stream)
         if ledger is None:
-            return NOT_READ_YET
+            return UNKNOWN_DRAW_REPLY
         return self._table.answer(message, ledger.draws.get(message.draw))
 
     async def _seal_lost_holders(self) -> None:
--- a/trefoilstage/components/budget/witness_client.py
+++ b/trefoilstage/components/budget/witness_client.py
@@ -66,7 +66,7 @@
         else:
             return
         # While the log is unreachable, no other draw can be obtained. This one is
-        # worth keeping, since its witness may be merely slow or soon be back.
+        # kept, since its witness may only be slow or may respond again soon.
         if reply is None and not self._accounts.is_log_reachable(pool):
             await asyncio.sleep(UNREAD_DRAW_RETRY_S)
             return
--- a/trefoilstage/components/budget/witness_table.py
+++ b/trefoilstage/components/budget/witness_table.py
@@ -1,7 +1,7 @@
 """Decide what a witness allows and what it seals; pure, with no clock.
 
-A bound asks the witness of a draw to allow new holds. A seal closes a lost
-host's draw: it records what was spent and which requests may still run.
+A bound asks the witness of a draw to allow new holds. A seal ends the use of a
+lost host's draw: it records what was spent and which requests may still run.
 """
 
 from collections import deque
@@ -13,9 +13,9 @@
 from trefoilstage.ledger.state import DrawState, DrawStatus
 
 MAX_UNSETTLED = 5_000
-ALLOWED = BoundReply(allowed=True)
-REFUSED = BoundReply(allowed=False)
-NOT_READ_YET = BoundReply(allowed=False, known=False)
+ALLOWED_REPLY = BoundReply(allowed=True)
+REFUSED_REPLY = BoundReply(allowed=False)
+UNKNOWN_DRAW_REPLY = BoundReply(allowed=False, known=False)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -69,22 +69,22 @@
     draws: dict[str, WitnessedDraw] = field(default_factory=dict)
 
     def answer(self, message: Bound, state: DrawState | None) -> BoundReply:
-        """Allow a bound unless its draw is, or may be, closed to the holder."""
-        # The state no longer has a closed draw and does not have a new one yet.
-        # Allowing a draw that is not in the state would let a holder whose draw was
-        # sealed and dropped spend what the log has granted to peer hosts since.
+        """Allow a bound only if its draw is known to be open."""
+        # The state no longer has a closed draw and does not have a new one yet. If
+        # an unknown draw were allowed, a holder whose draw was sealed and dropped
+        # could spend what the log has granted to peer hosts since.
         if state is None or state.witness != self.incarnation:
-            return NOT_READ_YET
+            return UNKNOWN_DRAW_REPLY
         draw = self.draws.setdefault(message.draw, WitnessedDraw())
         # After sealing a draw, this host allows no more: the seal on the log
         # counts exactly this table, and the rest is granted to peer hosts.
         if draw.sealed or state.status is not DrawStatus.OPEN:
-            return REFUSED
+            return REFUSED_REPLY
         if message.sequence <= draw.sequence:
-            return ALLOWED if message.sequence == draw.sequence else REFUSED
+            return ALLOWED_REPLY if message.sequence == draw.sequence else REFUSED_REPLY
         draw.apply(message)
         draw.forget_settled(state.spent)
-        return ALLOWED
+        return ALLOWED_REPLY
 
     def seal(self, name: str, state: DrawState) -> Seal | None:
         """Allow no more holds of a draw; return its seal, or None if it was sealed."""
