--- a/tests/components/admission/test_overload.py
+++ b/tests/components/admission/test_overload.py
@@ -9,8 +9,8 @@
 from tests.answers import CallerAnswer
 from tests.common import Fleet
 
-NARROW = "[targets.engine-0]\nmax_concurrent = 2\n"
-LOW = {"X-Priority": "1"}
+TWO_SLOTS = "[targets.engine-0]\nmax_concurrent = 2\n"
+LOW_PRIORITY = {"X-Priority": "1"}
 SLOW_ENGINE = ("--tokens-per-s", "20", "--max-running", "2")
 
 
@@ -25,10 +25,12 @@
         async with Fleet(
             n_hosts=1, engine_options=SLOW_ENGINE, host_settings={"queue_wait_s": 20.0}
         ) as fleet:
-            await fleet.publish("20-narrow.toml", NARROW)
+            await fleet.publish("20-narrow.toml", TWO_SLOTS)
             host = fleet.hosts[0]
             low = [
-                asyncio.create_task(fleet.chat(host, max_tokens=20, headers=LOW))
+                asyncio.create_task(
+                    fleet.chat(host, max_tokens=20, headers=LOW_PRIORITY)
+                )
                 for _ in range(6)
             ]
             await wait_for(lambda: self.has_started(fleet, 2), "the target to be full")
@@ -40,13 +42,13 @@
             self.assertIn(5, order[2:4])
 
     async def test_request_that_would_be_late_is_refused_immediately(self) -> None:
-        """Guard against callers that wait in vain at a target full for too long.
+        """Guard against callers that wait in vain for a target that stays full.
 
         The host must refuse such requests long before the deadline, with a
         Retry-After header, and must run none of them.
         """
         async with Fleet(n_hosts=1, engine_options=SLOW_ENGINE) as fleet:
-            await fleet.publish("20-narrow.toml", NARROW)
+            await fleet.publish("20-narrow.toml", TWO_SLOTS)
             host = fleet.hosts[0]
             await fleet.chat(host, max_tokens=60)
             running = [
@@ -92,7 +94,7 @@
                 await asyncio.gather(*(fleet.chat(host) for _ in range(4)))
                 return bool(await fleet.list_executed_at(failing_engine))
 
-            await wait_for(is_used, "the target to get work again")
+            await wait_for(is_used, "the target to receive requests again")
 
     async def has_started(self, fleet: Fleet, n_requests: int) -> bool:
         """Return whether the first engine has started at least this many requests."""
--- a/tests/components/power/test_lost_draws.py
+++ b/tests/components/power/test_lost_draws.py
@@ -19,7 +19,7 @@
     )
 
 
-class LostTest(unittest.TestCase):
+class LostDrawTest(unittest.TestCase):
     """Test what is known of a lost host's draws and which host releases them."""
 
     def test_a_seal_names_the_requests_by_target(self) -> None:
@@ -32,7 +32,7 @@
         self.assertEqual(lost.requests, {"x": ("r0", "r2"), "y": ("r1",)})
         self.assertEqual(lost.fencing, 9)
 
-    def test_without_a_seal_no_target_is_known(self) -> None:
+    def test_without_a_seal_no_request_is_known(self) -> None:
         lost = make_lost_draw("a-1/1", make_draw(DrawStatus.OPEN), next_offset=12)
         self.assertIsNone(lost.requests)
         self.assertEqual(lost.fencing, 12)
--- a/trefoilstage/components/admission/controller.py
+++ b/trefoilstage/components/admission/controller.py
@@ -27,14 +27,14 @@
 
     candidate: Candidate
     hold: PowerHold
-    blocks: tuple[str, ...]
+    blocks: tuple[str, ...]  # the hashes of the prompt's blocks
     n_new_tokens: int
     started_at: float
 
 
 @dataclass(kw_only=True, slots=True, eq=False)
 class Waiter:
-    """Signal a waiting request that it is its turn or that it is refused."""
+    """Signal a waiting request that it is first in the queue, or refused."""
 
     ticket: QueueTicket
     turn: asyncio.Event = field(default_factory=asyncio.Event)
@@ -66,25 +66,25 @@
         self._numbers = itertools.count()
 
     async def on_start(self) -> None:
-        """Start the timer that checks the queues, and watch for power."""
+        """Start the timer that checks the queues, and listen for drawn watts."""
         self._unsubscribe = self._timer.subscribe(
             name="admission", interval_s=TICK_INTERVAL_S, callback=self._tick
         )
         self._unsubscribe_power = self._power.subscribe(self._wake_all_queues)
 
     async def on_stop(self) -> None:
-        """Stop the timer and watch for power no longer."""
+        """Stop the timer and stop listening for drawn watts."""
         self._unsubscribe_power()
         self._unsubscribe()
 
     def make_ticket(self, job: Job) -> QueueTicket:
         """Return a ticket: a request's rank and the time until which it may wait."""
         queue = self._get_queue(job.model)
-        usable_s = job.deadline_s - queue.capacity.mean_duration_s
+        max_wait_s = job.deadline_s - queue.capacity.mean_duration_s
         return QueueTicket(
             priority=job.priority,
             number=next(self._numbers),
-            give_up_at=self._timer.now() + min(self._queue_wait_s, usable_s),
+            give_up_at=self._timer.now() + min(self._queue_wait_s, max_wait_s),
         )
 
     async def admit(
@@ -106,7 +106,7 @@
         self._router.record_end(slot.candidate.name, now)
         queue = self._get_queue(job.model)
         if served:
-            queue.capacity.note_duration(now - slot.started_at)
+            queue.capacity.record_duration(now - slot.started_at)
         self._wake_first(queue)
 
     def count_waiting(self) -> int:
--- a/trefoilstage/components/admission/queue.py
+++ b/trefoilstage/components/admission/queue.py
@@ -23,9 +23,9 @@
     """Estimate how soon slots come free, from how long requests run."""
 
     mean_duration_s: float = 0.0
-    weight: float = 0.1
+    weight: float = 0.1  # of the latest duration in the mean
 
-    def note_duration(self, duration_s: float) -> None:
+    def record_duration(self, duration_s: float) -> None:
         """Update the mean with the duration of an ended request."""
         if self.mean_duration_s == 0.0:
             self.mean_duration_s = duration_s
--- a/trefoilstage/components/power/controller.py
+++ b/trefoilstage/components/power/controller.py
@@ -39,7 +39,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PowerHold:
-    """Identify the watts held for one request at one target."""
+    """Identify the watts held for one request at one target.
+
+    `fencing` is the log offset at which the draw was opened.
+    """
 
     target: str
     request: str
@@ -118,16 +121,16 @@
         )
 
     def subscribe(self, listener: Callable[[], None]) -> Callable[[], None]:
-        """Call a listener after each draw of watts until the result is called."""
+        """Call a listener after each draw of watts; return a way to unsubscribe."""
         self._listeners.append(listener)
         return lambda: self._listeners.remove(listener)
 
     async def _ensure_usable(self, account: str, watts: int) -> bool:
         while self._budget.count_usable(account) < watts:
             task = self._start_draw(account, watts)
-            # Free watts are drawn quickly. Watts of peer hosts may take as long
-            # as the peers need to give them back, so they are not waited for:
-            # watts released here meanwhile must go to the next request immediately.
+            # Free watts are drawn quickly. Peer hosts may take long to give watts
+            # back, so this request does not wait for them: watts released here
+            # meanwhile must go to the next request immediately.
             if self._count_free(account) < watts:
                 return False
             await asyncio.wait({task})
@@ -152,9 +155,9 @@
     def retire_draw(self, site: str) -> None:
         """Retire a site's draw after a target refused it as fenced.
 
-        A witness that lost contact with this host alone sealed an older draw. The
-        fence covers this host's other draws as well, sealed or not; requests
-        under them would be refused until they are used up.
+        A witness that lost contact with this host alone sealed an older draw, and
+        the target was fenced. The fence also covers this host's other draws, sealed
+        or not; the target would refuse their requests until they are used up.
         """
         self._budget.retire_draw(f"{SITE_ACCOUNT_PREFIX}{site}")
 
@@ -269,7 +272,7 @@
         targets = self._blackboard.configuration.targets
         site_targets = [name for name in targets if targets[name].site == lost.site]
         for name in sorted(site_targets if lost.requests is None else lost.requests):
-            # A target that was removed from the configuration counts as off.
+            # A target that was removed from the configuration counts as switched off.
             target = targets.get(name)
             if target is None:
                 continue
@@ -288,9 +291,10 @@
             return fence.active == 0
         if requests is None:
             return False
-        # This target would still run what a suspended holder sends after it resumes.
-        # So only requests that the target reports as ended are over. A request that
-        # it has never received stays charged until the holder itself settles it.
+        # This target would still run requests that a suspended holder sends after it
+        # resumes. So only a request that the target reports as ended has ended. The
+        # watts of one that the target never received stay held until the holder itself
+        # settles it.
         answers = [
             await self._targets.get_request_status(target, request)
             for request in requests
--- a/trefoilstage/components/power/lost_draws.py
+++ b/trefoilstage/components/power/lost_draws.py
@@ -1,4 +1,4 @@
-"""Find the watts of lost hosts and what must end before they are free; pure."""
+"""List the requests that must end before a lost host's watts are free; pure."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -14,6 +14,7 @@
     """Describe a lost host's draw and the requests that may still use its watts.
 
     Requests are listed by target; None means that the requests are unknown.
+    `fencing` is a log offset; targets refuse requests of draws opened up to it.
     """
 
     name: str
@@ -43,7 +44,7 @@
 
 
 def make_lost_draw(name: str, draw: DrawState, next_offset: int) -> LostDraw:
-    """Return what must end before a lost host's draw is free.
+    """Return a lost host's draw with the requests that must end first.
 
     The witness's seal lists every request that may run. Without a seal no host
     knows them, and each target of the site must refuse the holder.
@@ -66,8 +67,8 @@
     """Return whether this host asks the targets about a draw.
 
     `live` maps the live incarnations, this host's included, to host names;
-    `lost` contains the incarnations that have been unreachable for long. Two
-    responsible hosts do no harm: what either reports is true.
+    `lost` contains the incarnations that have been unreachable for long. It is
+    harmless if two hosts are responsible, as what either reports is true.
     """
     if draw.witness == incarnation:
         return draw.status is DrawStatus.SEALED
--- a/trefoilstage/components/routing/reports.py
+++ b/trefoilstage/components/routing/reports.py
@@ -30,7 +30,7 @@
         self._targets = targets
         self._router = router
         self._timer = timer
-        self._next_events: dict[str, int] = {}  # the event to read from, by target
+        self._next_events: dict[str, int] = {}  # the next event to read, by target
 
     async def on_start(self) -> None:
         """Start polling."""
--- a/trefoilstage/components/routing/router.py
+++ b/trefoilstage/components/routing/router.py
@@ -20,7 +20,7 @@
 from trefoilstage.helpers.verdict import Reason, Refusal
 
 MIN_RETRY_AFTER_S = 1.0
-BYTES_PER_TOKEN = 4
+CHARS_PER_TOKEN = 4
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -28,7 +28,7 @@
     """Describe the chosen target and the number of prompt tokens not cached there."""
 
     candidate: Candidate
-    blocks: tuple[str, ...]
+    blocks: tuple[str, ...]  # the hashes of the prompt's blocks
     n_new_tokens: int
 
 
@@ -122,7 +122,7 @@
         self._prefix_map.add_blocks(name, blocks)
         self.get_status(name).load.pending_prompt += n_tokens
 
-    def record_prompt_read(self, name: str, n_tokens: int) -> None:
+    def record_prompt_processed(self, name: str, n_tokens: int) -> None:
         """Record that a target has processed a prompt or will not process it."""
         self.get_status(name).load.pending_prompt -= n_tokens
 
@@ -160,7 +160,7 @@
         n_cached_tokens = (
             self._prefix_map.count_cached_blocks(candidate.name, blocks) * BLOCK_TOKENS
         )
-        n_prompt_tokens = job.n_prompt_chars // BYTES_PER_TOKEN
+        n_prompt_tokens = job.n_prompt_chars // CHARS_PER_TOKEN
         return ScoredCandidate(
             candidate=candidate,
             n_running=load.estimate_running(now),
--- a/trefoilstage/components/targets/directory.py
+++ b/trefoilstage/components/targets/directory.py
@@ -13,7 +13,7 @@
 EXPIRY_GRACE_S = 2.0
 # Names are rarely reused, so the starts of the most recent names are enough.
 MAX_TRACKED_NAMES = 10_000
-# Delayed entries arrive within seconds, and a target restarts only a few times in that.
+# Delayed entries arrive within seconds, in which a target restarts only a few times.
 MAX_FORMER_STARTS = 4
 
 
@@ -107,7 +107,10 @@
             history.other = None
 
     def apply_removal(self, name: str, now: float, store_back_at: float) -> None:
-        """Handle the removal of a target's entry from the store."""
+        """Handle the removal of a target's entry from the store.
+
+        `store_back_at` is when the store last became reachable, or `now` if it is not.
+        """
         self._forget_other(name)
         listed = self.listed.get(name)
         if listed is None:
--- a/trefoilstage/components/targets/dispatcher.py
+++ b/trefoilstage/components/targets/dispatcher.py
@@ -87,7 +87,8 @@
                 self._record_refusal(job, slot, error)
                 # A target at capacity ran nothing and has not failed, so the request
                 # keeps its place in the queue. Counted as a retry, it would use up the
-                # retry credit in an overload and be refused although room is near.
+                # retry credit in an overload and be refused although a slot may be
+                # free soon.
                 if not error.is_busy:
                     excluded |= {slot.candidate.name}
                     n_failed += 1
@@ -111,7 +112,7 @@
         )
 
     async def _has_run_nothing(self, job: Job, slot: Slot) -> bool:
-        """Return whether the target confirms that a failed job ended without tokens."""
+        """Return whether the target reports that a failed job ended without tokens."""
         response = await self._targets.cancel(slot.candidate.config, job.request)
         return response is not None and response.ended and not response.usage.total
 
@@ -143,15 +144,15 @@
         name = slot.candidate.name
         job_result.target = name
         has_ended = False
-        n_unread_tokens = slot.n_new_tokens
-        self._router.record_prompt_sent(name, slot.blocks, n_unread_tokens)
+        n_unprocessed_tokens = slot.n_new_tokens
+        self._router.record_prompt_sent(name, slot.blocks, n_unprocessed_tokens)
         try:
             generation_request = self._make_generation_request(job, slot)
             stream = self._targets.generate(slot.candidate.config, generation_request)
             async with aclosing(stream) as chunks:
                 async for chunk in chunks:
-                    self._router.record_prompt_read(name, n_unread_tokens)
-                    n_unread_tokens = 0
+                    self._router.record_prompt_processed(name, n_unprocessed_tokens)
+                    n_unprocessed_tokens = 0
                     job_result.usage = chunk.usage or job_result.usage
                     yield chunk
             has_ended = True
@@ -161,7 +162,7 @@
             job_result.target = ""
             raise
         finally:
-            self._router.record_prompt_read(name, n_unread_tokens)
+            self._router.record_prompt_processed(name, n_unprocessed_tokens)
             self._finish(
                 job, slot, has_ended=has_ended, served=job_result.usage is not None
             )
--- a/trefoilstage/components/targets/models.py
+++ b/trefoilstage/components/targets/models.py
@@ -53,7 +53,7 @@
 
 
 class FenceResponse(BaseModel):
-    """Represent the response to a fence: if it is enforced, and what still runs."""
+    """Represent the response to a fence: whether it is enforced and what still runs."""
 
     checked: bool
     active: int = Field(ge=0)
--- a/trefoilstage/components/targets/serving_check.py
+++ b/trefoilstage/components/targets/serving_check.py
@@ -10,8 +10,8 @@
 from trefoilstage.const import CONFIG_STREAM
 from trefoilstage.timer import TimerService
 
-# A configuration change must be in force within 5 s. The rest of the 5 s is for the
-# last confirmation to arrive and for the request to be sent.
+# A configuration change must be in force within 5 s. In the rest of the 5 s, the last
+# confirmation arrives and the request is sent.
 CONFIRMATION_VALID_S = 3.0
 
 
