--- a/tests/components/crashes/test_evidence.py
+++ b/tests/components/crashes/test_evidence.py
@@ -13,8 +13,8 @@
 from trefoilstage.components.crashes.models import Crash, make_crash
 
 SEEDS = range(20)
-# The load is the highest crash rate observed: of nine targets, one crashes every 0.6 s
-# and is back after 3 s. Requests take up to 0.3 s to start running.
+# The simulated crash rate is the highest observed: of nine targets, one crashes every
+# 0.6 s and serves again after 3 s. Requests take up to 0.3 s to start running.
 N_TARGETS = 9
 MEAN_CRASH_INTERVAL_S = 0.6
 RESTART_S = 3.0
@@ -133,7 +133,7 @@
         """Return the number of requests ever blocked, and of those interrupted."""
         generator = random.Random(seed)
         evidence = CrashEvidence()
-        crashes = self.draw_crashes(generator)
+        crashes = self.generate_crashes(generator)
         n_interruptions: Counter[str] = Counter()
         blocked: set[str] = set()
         for number in range(int(DURATION_S * REQUESTS_PER_S)):
@@ -152,7 +152,7 @@
                 at = crashed_at
         return len(blocked), len(n_interruptions)
 
-    def draw_crashes(self, generator: random.Random) -> list[list[float]]:
+    def generate_crashes(self, generator: random.Random) -> list[list[float]]:
         """Return the times at which each target crashes."""
         crashes: list[list[float]] = [[] for _ in range(N_TARGETS)]
         at = 0.0
--- a/trefoilstage/components/booking/controller.py
+++ b/trefoilstage/components/booking/controller.py
@@ -46,7 +46,9 @@
 RETRYABLE_STATUSES = frozenset({502, 503, 504})
 
 CallResult = ServiceResponse | Refusal
-LOG_REFUSAL = Refusal(reason=Reason.LOG_UNAVAILABLE, retry_after_s=RETRY_AFTER_LOG_S)
+LOG_UNAVAILABLE_REFUSAL = Refusal(
+    reason=Reason.LOG_UNAVAILABLE, retry_after_s=RETRY_AFTER_LOG_S
+)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -140,7 +142,7 @@
                     return result
             elif result.effect is Effect.UNKNOWN:
                 unknown_refusal = result
-        # An earlier server may have run the call, even if a later one could not
+        # A server tried earlier may have run the call, even if the last one could not
         # be reached.
         return (
             result if isinstance(result, ServiceResponse) else unknown_refusal or result
@@ -173,13 +175,13 @@
         if not self._blackboard.streams[
             f"{LEDGER_STREAM_PREFIX}{stream_number}"
         ].reachable:
-            return LOG_REFUSAL
+            return LOG_UNAVAILABLE_REFUSAL
         reservation = await self._reserve(context)
         if isinstance(reservation, Refusal):
             return reservation
         verdict = await self._record_intent(stream_number, intent)
         if not isinstance(verdict, Accepted):
-            self._settle(context, reservation, LOG_REFUSAL)
+            self._settle(context, reservation, LOG_UNAVAILABLE_REFUSAL)
             return verdict if isinstance(verdict, Refusal) else None
         run: asyncio.Future[CallResult] = asyncio.get_running_loop().create_future()
         self._runs[intent.key] = run
@@ -198,10 +200,10 @@
                 verdict = await asyncio.shield(ticket.future)
         except TimeoutError:
             self._withdraw_intent(stream_number, intent.key, ticket)
-            return LOG_REFUSAL
+            return LOG_UNAVAILABLE_REFUSAL
         if isinstance(verdict, Rejected) and verdict.reason is Reason.NOT_READY:
             self._abandon_intent(stream_number, intent.key)
-            return LOG_REFUSAL
+            return LOG_UNAVAILABLE_REFUSAL
         return verdict
 
     def _withdraw_intent(self, stream_number: int, key: str, ticket: Ticket) -> None:
@@ -224,9 +226,9 @@
     async def _wait_for_earlier_run(
         self, stream_number: int, intent: Intent
     ) -> CallResult | None:
-        """Return the result of an earlier call with the key, None without one.
+        """Return the result of an earlier call with the key, None if there is none.
 
-        A call that still runs after the wait gives a refusal.
+        If that call still runs after the wait, the result is a refusal.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + min(OUTCOME_WAIT_S, self._admission_wait_s * 2)
--- a/trefoilstage/components/booking/intents.py
+++ b/trefoilstage/components/booking/intents.py
@@ -1,7 +1,7 @@
-"""Decide what a call gets when the log has an intent for its idempotency key.
+"""Decide how to answer a call when the log has an intent for its key.
 
-An intent is the record that reserves a key before the call is sent; an outcome is
-the record of how the call ended. Both are in the state folded from the log.
+An intent is the record that reserves an idempotency key before the call is sent; an
+outcome is the record of how the call ended. Both are in the state folded from the log.
 """
 
 from enum import StrEnum
@@ -19,7 +19,10 @@
 
 
 class IntentStatus(StrEnum):
-    """List the states of an idempotency key on the log."""
+    """List the states of an idempotency key on the log.
+
+    A key is orphaned if the host that was running its call is lost.
+    """
 
     FREE = "free"
     REUSED = "reused"
@@ -44,7 +47,7 @@
 def answer_repeated_call(
     status: IntentStatus, recorded: IntentState | None
 ) -> ServiceResponse | Refusal:
-    """Return what a caller gets for a key in use; the call is not run again."""
+    """Return the answer for a key that is in use; the call is not run again."""
     if status is IntentStatus.REUSED:
         return Refusal(
             reason=Reason.KEY_REUSED,
@@ -68,7 +71,7 @@
 
 
 def replay_outcome(recorded: IntentState) -> ServiceResponse | Refusal:
-    """Return the response or refusal that an earlier call's outcome stands for."""
+    """Return the stored response of an earlier call, or a refusal without one."""
     if not recorded.known or recorded.status is None:
         return Refusal(
             reason=Reason.OUTCOME_UNKNOWN,
@@ -95,7 +98,7 @@
     return Outcome(
         key=key,
         status=result.status,
-        # A caller could not see that a replayed body had been truncated.
+        # A caller could not tell a truncated body from a complete one.
         body=result.body if is_whole else b"",
         content_type=result.content_type[:100],
         whole=is_whole,
--- a/trefoilstage/components/callers/authentication.py
+++ b/trefoilstage/components/callers/authentication.py
@@ -15,7 +15,7 @@
 from trefoilstage.util.hashing import hash_request_key, hash_secret
 
 BEARER_PREFIX = "Bearer "
-MAX_KEY_LENGTH = 200
+MAX_IDEMPOTENCY_KEY_LENGTH = 200
 MAX_INTEGER_DIGITS = 9
 DEFAULT_DEADLINE_S = 60.0
 MIN_DEADLINE_S = 0.01
@@ -24,7 +24,7 @@
 
 
 class CallerIdentifier:
-    """Identify callers, with an index of the keys in the current configuration."""
+    """Identify callers by an index of the bearer keys in the current configuration."""
 
     def __init__(self) -> None:
         self._indexed_configuration: Configuration | None = None
@@ -89,16 +89,20 @@
 
 
 def read_idempotency_key(request: web.Request) -> str | Refusal:
-    """Return the idempotency key, "" without one, or a refusal if it is invalid."""
+    """Return the idempotency key, "" if none was sent, or a refusal if invalid."""
     keys = request.headers.getall(HEADER_IDEMPOTENCY_KEY, [])
     if not keys:
         return ""
     key = keys[0].strip()
-    is_plain = key.isascii() and key.isprintable() and 0 < len(key) <= MAX_KEY_LENGTH
+    is_plain = (
+        key.isascii()
+        and key.isprintable()
+        and 0 < len(key) <= MAX_IDEMPOTENCY_KEY_LENGTH
+    )
     if len(keys) > 1 or not is_plain:
         detail = (
-            f"{HEADER_IDEMPOTENCY_KEY} must be one value of 1 to {MAX_KEY_LENGTH} "
-            "printable ASCII characters"
+            f"{HEADER_IDEMPOTENCY_KEY} must be one value of 1 to "
+            f"{MAX_IDEMPOTENCY_KEY_LENGTH} printable ASCII characters"
         )
         return Refusal(reason=Reason.BAD_REQUEST, detail=detail)
     return key
@@ -119,7 +123,7 @@
 
 
 def read_integer(request: web.Request, header: str, default: int) -> int | Refusal:
-    """Return a header's integer, the default without it, or a refusal."""
+    """Return a header's integer, the default if it is missing, or a refusal."""
     text = request.headers.get(header)
     if text is None:
         return default
--- a/trefoilstage/components/callers/chat.py
+++ b/trefoilstage/components/callers/chat.py
@@ -16,7 +16,7 @@
 from trefoilstage.const import HEADER_REPLAYED, HEADER_REQUEST_ID
 from trefoilstage.helpers.verdict import Effect, Reason, Refusal
 
-# The target's own timeout expires first; this one is for callers that joined late.
+# The target's own timeout expires first; this one is for callers that joined later.
 LISTEN_MARGIN_S = 1.0
 DEADLINE_REFUSAL = Refusal(
     reason=Reason.DEADLINE,
@@ -150,7 +150,7 @@
 
 
 def make_response_headers(caller: Caller, run: Run) -> dict[str, str]:
-    """Return the headers of a response; those of a replay say so."""
+    """Return the headers of a response, with one that marks a replay."""
     headers = {HEADER_REQUEST_ID: caller.request}
     if run.request != caller.request:
         headers[HEADER_REPLAYED] = "true"
--- a/trefoilstage/components/callers/errors.py
+++ b/trefoilstage/components/callers/errors.py
@@ -1,4 +1,4 @@
-"""Turn errors on the callers' port into typed responses."""
+"""Convert errors on the callers' port into refusals."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 @web.middleware
 async def handle_errors(request: web.Request, handler: Handler) -> web.StreamResponse:
-    """Respond with typed JSON to errors of the HTTP library and of handlers."""
+    """Respond to errors of the HTTP library and of handlers with refusals in JSON."""
     try:
         return await handler(request)
     except web.HTTPException as error:
--- a/trefoilstage/components/callers/gate.py
+++ b/trefoilstage/components/callers/gate.py
@@ -24,7 +24,7 @@
     async def handle(
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
-        """Run a handler; close the connection if the host is draining."""
+        """Run a handler; close the connection afterwards if the host is draining."""
         if request.path == HEALTH_PATH:
             return await handler(request)
         self.n_open_requests += 1
@@ -52,7 +52,7 @@
 
 
 def refuse_not_ready(detail: str) -> web.Response:
-    """Return the refusal of a request that arrived before the host was ready."""
+    """Return the refusal for a request that arrived before the host was ready."""
     refusal = Refusal(
         reason=Reason.NOT_READY, detail=detail, retry_after_s=NOT_READY_RETRY_AFTER_S
     )
--- a/trefoilstage/components/callers/generation.py
+++ b/trefoilstage/components/callers/generation.py
@@ -34,7 +34,7 @@
 
     @property
     def target(self) -> str:
-        """Return the target that accepted the request, "" without one."""
+        """Return the target that accepted the request, "" if none has."""
         return self.job_result.target
 
     @property
@@ -140,8 +140,8 @@
 
     def _list_fencing_urls(self, model: str) -> list[str]:
         candidates = list_candidates(self._blackboard.configuration.targets, model)
-        # After this host is lost, a request's spend stays in doubt unless every
-        # target that may have run it gives a final report of what it spent.
+        # After this host is lost, a request's hold stays doubtful unless every target
+        # that may have run the request gives a final report of what it spent.
         if not all(candidate.config.fences_cancelled for candidate in candidates):
             return []
         return [candidate.config.url for candidate in candidates]
@@ -171,7 +171,7 @@
 def make_job(
     caller: Caller, chat: ChatRequest, max_output_tokens: int, reservation: Reservation
 ) -> Job:
-    """Return the request to a target, streamed so that a truncated answer shows."""
+    """Return the job for a chat request; it streams, so that truncation is detected."""
     body = chat.model_dump(exclude_none=True)
     body["stream"] = True
     body["max_tokens"] = max_output_tokens
--- a/trefoilstage/components/callers/refusals.py
+++ b/trefoilstage/components/callers/refusals.py
@@ -1,4 +1,4 @@
-"""Turn refusals into typed HTTP responses."""
+"""Convert refusals into HTTP responses with a JSON body."""
 
 import math
 
--- a/trefoilstage/components/callers/server.py
+++ b/trefoilstage/components/callers/server.py
@@ -48,7 +48,7 @@
         self._runner: web.AppRunner | None = None
 
     async def on_start(self) -> None:
-        """Start to listen for connections."""
+        """Start listening for connections."""
         app = web.Application(
             client_max_size=MAX_REQUEST_BODY_BYTES,
             middlewares=[self._gate.handle, handle_errors],
--- a/trefoilstage/components/crashes/evidence.py
+++ b/trefoilstage/components/crashes/evidence.py
@@ -11,7 +11,8 @@
 
 from trefoilstage.components.crashes.models import Crash
 
-# Two targets that crash under a harmless request are chance; three have a cause.
+# Two targets may crash under a harmless request by chance. From three on, the crashes
+# have a cause.
 MIN_CRASHED_TARGETS = 3
 # Limits the memory of a host and the records in the store when hundreds of targets stop
 # while each runs dozens of requests.
@@ -40,7 +41,7 @@
         self.seen_at[crash] = now
         self.targets_by_fingerprint[crash.fingerprint].add(crash.target)
         while len(self.seen_at) > self.max_crashes:
-            self.remove(self._find_oldest(crash.fingerprint))
+            self.remove(self._select_crash_to_drop(crash.fingerprint))
         self._update_blocked(crash.fingerprint)
         return True
 
@@ -89,9 +90,9 @@
             else SUSPECT_RETENTION_S
         )
 
-    def _find_oldest(self, newest: str) -> Crash:
+    def _select_crash_to_drop(self, added_fingerprint: str) -> Crash:
         # The crashes of a blocked request must outlast a burst of other crashes.
-        kept = self.blocked_fingerprints | {newest}
+        kept = self.blocked_fingerprints | {added_fingerprint}
         suspects = (crash for crash in self.seen_at if crash.fingerprint not in kept)
         return next(suspects, next(iter(self.seen_at)))
 
@@ -102,9 +103,12 @@
         if not targets:
             del self.targets_by_fingerprint[crash.fingerprint]
 
-    def _update_blocked(self, changed: str) -> None:
-        n_crashes = len(self.targets_by_fingerprint.get(changed, ()))
-        if n_crashes >= MIN_CRASHED_TARGETS or changed in self.blocked_fingerprints:
+    def _update_blocked(self, changed_fingerprint: str) -> None:
+        n_crashes = len(self.targets_by_fingerprint.get(changed_fingerprint, ()))
+        if (
+            n_crashes >= MIN_CRASHED_TARGETS
+            or changed_fingerprint in self.blocked_fingerprints
+        ):
             self.blocked_fingerprints = find_causes(self.targets_by_fingerprint)
 
 
@@ -122,7 +126,7 @@
     }
     causes: set[str] = set()
     while unexplained:
-        likeliest = max(unexplained, key=lambda name: (len(unexplained[name]), name))
+        likeliest = max(unexplained, key=lambda item: (len(unexplained[item]), item))
         explained = unexplained.pop(likeliest)
         if len(explained) < MIN_CRASHED_TARGETS:
             break
--- a/trefoilstage/components/crashes/recorder.py
+++ b/trefoilstage/components/crashes/recorder.py
@@ -25,7 +25,7 @@
 # The key holds all data of a record, but a record without a value deletes its key.
 RECORD_VALUE = b"1"
 
-ListHosts = Callable[[], tuple[str, ...]]
+HostLister = Callable[[], tuple[str, ...]]
 
 
 class CrashRecorder(Service):
@@ -37,14 +37,14 @@
         board: FleetBoard,
         store: Store,
         links: PeerLinks,
-        list_live_hosts: ListHosts,
+        list_live_hosts: HostLister,
     ) -> None:
         super().__init__()
         self._board = board
         self._store = store
         self._links = links
         self._list_live_hosts = list_live_hosts
-        self._pending_writes: dict[Crash, bool] = {}  # False deletes
+        self._pending_writes: dict[Crash, bool] = {}  # True writes, False deletes
         self._is_writing = False
 
     def record(self, crashes: Sequence[Crash]) -> None:
@@ -119,12 +119,12 @@
         await self._send_report(writer, report)
 
     def _select_writer(self) -> PeerState | None:
-        reaching = tuple(
+        candidates = tuple(
             host
             for host in self._list_live_hosts()
             if host in self._board.peers and self._board.reaches_store(host)
         )
-        ranked = rank_names(self._board.host, reaching)
+        ranked = rank_names(self._board.host, candidates)
         return self._board.peers[ranked[0]] if ranked else None
 
     def _report_to_peers(self, report: CrashReport) -> None:
--- a/trefoilstage/components/crashes/watcher.py
+++ b/trefoilstage/components/crashes/watcher.py
@@ -16,7 +16,7 @@
 from trefoilstage.components.crashes.messages import CrashReport
 from trefoilstage.components.crashes.models import Crash, decode_crash, make_crash
 from trefoilstage.components.crashes.probe import ProbeResult, TargetProbe
-from trefoilstage.components.crashes.recorder import CrashRecorder, ListHosts
+from trefoilstage.components.crashes.recorder import CrashRecorder, HostLister
 from trefoilstage.components.peers.server import PeerServer
 from trefoilstage.components.views.keyed_view import KeyedRecord
 from trefoilstage.components.views.store import Topic
@@ -45,7 +45,7 @@
         recorder: CrashRecorder,
         server: PeerServer,
         timer: TimerService,
-        list_live_hosts: ListHosts,
+        list_live_hosts: HostLister,
     ) -> None:
         super().__init__()
         self._host = host
--- a/trefoilstage/components/keys/claims.py
+++ b/trefoilstage/components/keys/claims.py
@@ -1,7 +1,7 @@
 """Decide which host runs an idempotency key.
 
 The home of a key is the first live host, in rendezvous order for the key, that replies.
-Its claim for the key names the run that all requests with the key join.
+The home stores a claim, which names the run that all requests with the key join.
 """
 
 from dataclasses import dataclass
@@ -43,7 +43,7 @@
 
     def handle_claim(self, message: ClaimKey, *, now: float) -> ClaimReply:
         """Grant a key that is free, or whose current run the sender reports as lost."""
-        self._drop_expired(now)
+        self._drop_expired_and_excess(now)
         current = self._claims.get(message.key)
         if current is not None and current.digest != message.digest:
             return CONFLICT_REPLY
@@ -65,7 +65,7 @@
         )
         return GRANTED_REPLY
 
-    def _drop_expired(self, now: float) -> None:
+    def _drop_expired_and_excess(self, now: float) -> None:
         while self._claims:
             key = next(iter(self._claims))
             is_retained = now - self._claims[key].claimed_at < self._retention_s
--- a/trefoilstage/components/keys/messages.py
+++ b/trefoilstage/components/keys/messages.py
@@ -15,7 +15,8 @@
 class ClaimKey:
     """Ask a key's home for permission to run it.
 
-    `replaces` is the request of a lost run that this one replaces.
+    `runner` is the incarnation that would run it, `replaces` the request of a lost
+    run that this one replaces.
     """
 
     key: Name
--- a/trefoilstage/components/keys/runs.py
+++ b/trefoilstage/components/keys/runs.py
@@ -118,7 +118,7 @@
         self._runs: dict[str, Run] = {}
 
     def get(self, key: str) -> Run | None:
-        """Return the run of a key, None without one."""
+        """Return the run of a key, None if there is none."""
         return self._runs.get(key)
 
     def add(self, run: Run) -> None:
@@ -135,7 +135,7 @@
         return list(self._runs.values())
 
     def list_abandoned(self, now: float) -> list[Run]:
-        """Return the running runs without a listener for LISTENER_GRACE_S."""
+        """Return the unfinished runs without a listener for LISTENER_GRACE_S."""
         return [
             run
             for run in self._runs.values()
