--- a/trefoilstage/components/escrow/recovery.py
+++ b/trefoilstage/components/escrow/recovery.py
@@ -45,7 +45,7 @@
         self._grants = grants
         self._ask_seal = ask_seal
         self._confirm_incarnation = confirm_incarnation
-        self._grants_to_self = False
+        self._has_own_requests = False
         self._first_seen: dict[str, float] = {}  # by incarnation in a record
 
     def record_requester(self, requester: str) -> None:
