--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Provide the load and experiment tool."""
+"""Load test fleets of real processes and emulate fleets in virtual time."""
--- a/bench/emulator/callers.py
+++ b/bench/emulator/callers.py
@@ -1,4 +1,4 @@
-"""Play callers that want answers in time and come back when told to."""
+"""Emulate callers that expect answers in time and retry once when told to."""
 
 import asyncio
 import itertools
@@ -18,17 +18,17 @@
 )
 from trefoilstage.helpers.verdict import Effect, Reason, Refusal
 
-# Callers come back within this share of the time that they have left.
-COMEBACK_SHARE = 1 / 3
-PAUSE_S = 0.1
-MIN_TOKENS = 16
-SPREAD = 0.8  # of the logarithm of sizes
-MAX_FACTOR = 4.0  # of the mean
-FEWEST_OUTPUT_TOKENS = 4
+# Callers wait at most this share of their remaining time before a retry.
+MAX_RETRY_WAIT_SHARE = 1 / 3
+RETRY_PAUSE_S = 0.1
+MIN_SIZE_TOKENS = 16
+SIZE_SIGMA = 0.8  # standard deviation of the logarithm of sizes
+MAX_SIZE_FACTOR = 4.0  # relative to the mean
+MIN_OUTPUT_TOKENS = 4
 
 
 class Result(StrEnum):
-    """Name what a caller got."""
+    """Name the result of a request as its caller sees it."""
 
     IN_TIME = "in time"
     LATE = "late"
@@ -38,45 +38,45 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Outcome:
-    """Hold what a caller got, and when it asked."""
+    """Describe the result of a request over all its attempts; times are virtual."""
 
     kind: str
     workspace: str
-    asked_at: float
+    requested_at: float
     result: Result
-    first_s: float | None
-    n_tries: int
+    first_event_s: float | None
+    n_attempts: int
     reason: Reason | None = None  # of the last refusal
 
 
 @dataclass(kw_only=True, slots=True)
-class CallerWatch:
-    """See an answer as its caller does."""
+class RecordedReply:
+    """Record the reply to one attempt and the times of its events."""
 
-    first_at: float | None = None
-    last_at: float = 0.0
+    first_event_at: float | None = None
+    last_event_at: float = 0.0
     longest_gap_s: float = 0.0
-    complete: bool = False
+    is_complete: bool = False
     is_open: bool = False
 
     async def open(
         self, status: int, headers: Sequence[tuple[str, str]], *, close: bool
     ) -> None:
-        """See the head of a stream."""
+        """Record that a stream has begun."""
         self.is_open = True
 
     async def write(self, data: bytes) -> None:
-        """See events."""
+        """Record the time of events."""
         now = asyncio.get_running_loop().time()
-        if self.first_at is None:
-            self.first_at = now
+        if self.first_event_at is None:
+            self.first_event_at = now
         else:
-            self.longest_gap_s = max(self.longest_gap_s, now - self.last_at)
-        self.last_at = now
+            self.longest_gap_s = max(self.longest_gap_s, now - self.last_event_at)
+        self.last_event_at = now
 
     async def end(self) -> None:
-        """See the end of a stream."""
-        self.complete = True
+        """Record the end of a stream."""
+        self.is_complete = True
 
     def set_complete(
         self,
@@ -86,33 +86,33 @@
         *,
         close: bool,
     ) -> None:
-        """See a whole answer."""
-        self.first_at = asyncio.get_running_loop().time()
-        self.complete = True
+        """Record an answer that is not a stream."""
+        self.first_event_at = asyncio.get_running_loop().time()
+        self.is_complete = True
 
 
 @dataclass(kw_only=True, slots=True)
-class Prompts:
-    """Draw prompts, workspaces and sizes by seed."""
+class RequestSampler:
+    """Sample requests, their prompts and their sizes from a seeded generator."""
 
     generator: random.Random
-    outputs: dict[str, int] = field(default_factory=dict)
-    parts: dict[str, PromptPart] = field(default_factory=dict)
-    numbers: "itertools.count[int]" = field(default_factory=itertools.count)
-
-    def draw_size(self, mean: float) -> int:
-        """Return a number of tokens around a mean."""
-        factor = self.generator.lognormvariate(-SPREAD * SPREAD / 2, SPREAD)
-        return max(MIN_TOKENS, int(mean * min(MAX_FACTOR, factor)))
-
-    def draw_request(self, kind: Kind) -> CallerRequest:
-        """Return a request of a kind."""
-        name = f"r-{next(self.numbers)}"
-        prompt = self._draw_prompt(kind, name)
+    n_output_tokens_by_request: dict[str, int] = field(default_factory=dict)
+    shared_parts: dict[str, PromptPart] = field(default_factory=dict)
+    request_numbers: "itertools.count[int]" = field(default_factory=itertools.count)
+
+    def sample_size(self, mean: float) -> int:
+        """Return a log-normal number of tokens with a given mean, before limits."""
+        factor = self.generator.lognormvariate(-SIZE_SIGMA * SIZE_SIGMA / 2, SIZE_SIGMA)
+        return max(MIN_SIZE_TOKENS, int(mean * min(MAX_SIZE_FACTOR, factor)))
+
+    def sample_request(self, kind: Kind) -> CallerRequest:
+        """Return a new request of a kind."""
+        name = f"r-{next(self.request_numbers)}"
+        prompt = self._sample_prompt(kind, name)
         n_output = 0
         if prompt:
-            n_output = max(FEWEST_OUTPUT_TOKENS, self.draw_size(kind.output_tokens))
-        self.outputs[name] = n_output
+            n_output = max(MIN_OUTPUT_TOKENS, self.sample_size(kind.output_tokens))
+        self.n_output_tokens_by_request[name] = n_output
         return CallerRequest(
             request_id=name,
             method="POST",
@@ -127,23 +127,23 @@
             headers=(),
         )
 
-    def _draw_prompt(self, kind: Kind, name: str) -> tuple[PromptPart, ...]:
+    def _sample_prompt(self, kind: Kind, name: str) -> tuple[PromptPart, ...]:
         if not kind.own_tokens:
             return ()
         parts = []
         for level, shared in enumerate(kind.shared):
             number = self.generator.randrange(shared.n_subjects)
             subject = f"{kind.name}/{level}/{number}"
-            if subject not in self.parts:
-                size = self.draw_size(shared.tokens)
-                self.parts[subject] = PromptPart(name=subject, n_tokens=size)
-            parts.append(self.parts[subject])
-        own = PromptPart(name=name, n_tokens=self.draw_size(kind.own_tokens))
+            if subject not in self.shared_parts:
+                size = self.sample_size(shared.tokens)
+                self.shared_parts[subject] = PromptPart(name=subject, n_tokens=size)
+            parts.append(self.shared_parts[subject])
+        own = PromptPart(name=name, n_tokens=self.sample_size(kind.own_tokens))
         return (*parts, own)
 
 
 class Caller:
-    """Ask once, and once more when told to come back."""
+    """Send one request, and retry it once when the host's refusal allows that."""
 
     def __init__(
         self,
@@ -161,68 +161,74 @@
         self._request = request
         self._hosts = hosts
         self._generator = generator
-        self._watch = CallerWatch()
-
-    async def ask(self) -> Outcome:
-        """Return what the caller got in the end."""
-        asked_at = asyncio.get_running_loop().time()
-        deadline = asked_at + self._kind.deadline_s
-        result = await self._try_once(deadline)
-        n_tries = 1
+        self._reply = RecordedReply()
+
+    async def run(self) -> Outcome:
+        """Send the request and return the outcome after the last attempt."""
+        requested_at = asyncio.get_running_loop().time()
+        deadline = requested_at + self._kind.deadline_s
+        result = await self._send_once(deadline)
+        n_attempts = 1
         if isinstance(result, Refusal | HostLostError):
-            wait_s = self._plan_return(result, deadline)
+            wait_s = self._compute_retry_wait(result, deadline)
             if wait_s is not None:
                 await asyncio.sleep(wait_s)
-                result = await self._try_once(deadline)
-                n_tries = 2
-        first_at = self._watch.first_at
+                result = await self._send_once(deadline)
+                n_attempts = 2
+        first_event_at = self._reply.first_event_at
         return Outcome(
             kind=self._kind.name,
             workspace=self._workspace.name,
-            asked_at=asked_at,
-            result=self._judge(result, asked_at),
-            first_s=None if first_at is None else first_at - asked_at,
-            n_tries=n_tries,
+            requested_at=requested_at,
+            result=self._classify_result(result, requested_at),
+            first_event_s=None
+            if first_event_at is None
+            else first_event_at - requested_at,
+            n_attempts=n_attempts,
             reason=result.reason if isinstance(result, Refusal) else None,
         )
 
-    async def _try_once(self, deadline: float) -> Refusal | Exception | None:
-        self._watch = CallerWatch()
-        left_s = deadline - asyncio.get_running_loop().time()
+    async def _send_once(self, deadline: float) -> Refusal | Exception | None:
+        self._reply = RecordedReply()
+        remaining_s = deadline - asyncio.get_running_loop().time()
         host = self._pick_host()
         try:
-            async with asyncio.timeout(left_s):
+            async with asyncio.timeout(remaining_s):
                 return await host.serve(
                     request=self._request,
                     route=self._route,
                     workspace=self._workspace,
-                    reply=self._watch,
+                    reply=self._reply,
                 )
         except (TimeoutError, HostLostError) as error:
             return error
 
     def _pick_host(self) -> EmulatedHost:
-        serving = [host for host in self._hosts if host.serving]
+        serving = [host for host in self._hosts if host.is_serving]
         return self._generator.choice(serving or list(self._hosts))
 
-    def _plan_return(
+    def _compute_retry_wait(
         self, result: Refusal | HostLostError, deadline: float
     ) -> float | None:
-        left_s = deadline - asyncio.get_running_loop().time()
+        remaining_s = deadline - asyncio.get_running_loop().time()
         if isinstance(result, HostLostError):
             is_retryable = self._kind.kind is RouteKind.IDEMPOTENT
-            return PAUSE_S if is_retryable and left_s > PAUSE_S else None
+            return (
+                RETRY_PAUSE_S if is_retryable and remaining_s > RETRY_PAUSE_S else None
+            )
         if result.effect is not Effect.NOT_RUN or result.retry_after_s is None:
             return None
-        return min(result.retry_after_s, left_s * COMEBACK_SHARE)
+        return min(result.retry_after_s, remaining_s * MAX_RETRY_WAIT_SHARE)
 
-    def _judge(self, result: Refusal | Exception | None, asked_at: float) -> Result:
+    def _classify_result(
+        self, result: Refusal | Exception | None, requested_at: float
+    ) -> Result:
         if isinstance(result, Refusal):
-            not_run = result.effect is Effect.NOT_RUN
-            return Result.REFUSED if not_run else Result.FAILED
-        watch = self._watch
-        if result is not None or not watch.complete or watch.first_at is None:
+            is_not_run = result.effect is Effect.NOT_RUN
+            return Result.REFUSED if is_not_run else Result.FAILED
+        reply = self._reply
+        if result is not None or not reply.is_complete or reply.first_event_at is None:
             return Result.FAILED
-        in_time = watch.first_at - asked_at <= self._kind.objective_s
-        smooth = watch.longest_gap_s <= self._kind.gap_objective_s
-        return Result.IN_TIME if in_time and smooth else Result.LATE
+        is_in_time = reply.first_event_at - requested_at <= self._kind.objective_s
+        is_smooth = reply.longest_gap_s <= self._kind.gap_objective_s
+        return Result.IN_TIME if is_in_time and is_smooth else Result.LATE
--- a/bench/emulator/clock.py
+++ b/bench/emulator/clock.py
@@ -1,4 +1,4 @@
-"""Run an event loop whose time jumps from one timer to the next."""
+"""Run an event loop in virtual time, which jumps from one timer to the next."""
 
 import asyncio
 import selectors
@@ -8,26 +8,26 @@
 ResultT = TypeVar("ResultT")
 
 
-class JumpingSelector(selectors.DefaultSelector):
-    """Wait for nothing; move the loop's time on instead."""
+class VirtualTimeSelector(selectors.DefaultSelector):
+    """Advance the loop's time instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Let the time until the next timer pass at once."""
+        """Advance the time to the next timer and return immediately."""
         if timeout is None:
-            raise RuntimeError("everything waits and no timer is set")
+            raise RuntimeError("all tasks are waiting and no timer is scheduled")
         self.now += max(0.0, timeout)
         return []
 
 
-class VirtualLoop(asyncio.SelectorEventLoop):
-    """Tell virtual time; what happens depends on the program alone."""
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
+    """Run in virtual time, so that the machine's speed has no influence."""
 
     def __init__(self) -> None:
-        self._jumping = JumpingSelector()
+        self._jumping = VirtualTimeSelector()
         super().__init__(self._jumping)
 
     def time(self) -> float:
@@ -37,5 +37,5 @@
 
 def run_virtually(main: Coroutine[Any, Any, ResultT]) -> ResultT:
     """Run a coroutine in virtual time and return its result."""
-    with asyncio.Runner(loop_factory=VirtualLoop) as runner:
+    with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         return runner.run(main)
--- a/bench/emulator/engine.py
+++ b/bench/emulator/engine.py
@@ -1,4 +1,4 @@
-"""Emulate a model engine that batches continuously and keeps prompts in memory."""
+"""Emulate a model engine with continuous batching and a prefix cache."""
 
 import asyncio
 import random
@@ -8,18 +8,18 @@
 
 from trefoilstage.components.forwarding.models import PromptPart
 
-MS = 0.001
+S_PER_MS = 0.001
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class EngineSpeed:
-    """Describe how fast an engine is."""
+    """Describe the speed and capacity of an engine."""
 
     step_ms: float = 3.7
     step_ms_per_request: float = 0.02
-    prompt_tokens_per_ms: float = 64.0
-    pairs_ms_per_million: float = 0.37  # attention over what was read before
-    chunk_tokens: int = 2_048
+    prefill_tokens_per_ms: float = 64.0
+    attention_ms_per_million_pairs: float = 0.37  # a new token with an earlier one
+    prefill_chunk_tokens: int = 2_048
     slots: int = 64
     kv_tokens: int = 435_000
     tokens_per_event: int = 5
@@ -27,40 +27,43 @@
 
 @dataclass(kw_only=True, slots=True)
 class Generation:
-    """Hold one request at an engine."""
+    """Describe one request at an engine; a lower `urgency` starts first.
 
-    request: str
+    `events` gets the number of tokens generated so far, None if the request is lost.
+    """
+
+    request_id: str
     prompt: Sequence[PromptPart]
-    n_output: int
+    n_output_tokens: int
     urgency: int
-    begun: bool = False  # to read the prompt
-    n_read: int = 0  # prompt tokens in memory
-    n_made: int = 0  # output tokens
+    prefill_started: bool = False
+    n_prefilled: int = 0  # prompt tokens in the KV cache, also those found there
+    n_generated: int = 0
     events: asyncio.Queue[int | None] = field(default_factory=asyncio.Queue)
 
     @property
-    def n_prompt(self) -> int:
-        """Return the tokens of the prompt."""
+    def n_prompt_tokens(self) -> int:
+        """Return the number of tokens in the prompt."""
         return sum(part.n_tokens for part in self.prompt)
 
     @property
-    def n_kv(self) -> int:
-        """Return the tokens that the request holds in memory."""
-        return self.n_read + self.n_made
+    def n_kv_tokens(self) -> int:
+        """Return the number of tokens that the request occupies in the KV cache."""
+        return self.n_prefilled + self.n_generated
 
 
 @dataclass(kw_only=True, slots=True)
 class EngineTotals:
-    """Count what an engine did; read after a run."""
+    """Count prompt tokens and preempted requests of an engine over a run."""
 
-    read: int = 0
-    read_again: int = 0
-    found: int = 0
-    preempted: int = 0
+    n_prefilled: int = 0
+    n_prefilled_again: int = 0
+    n_found_in_cache: int = 0
+    n_preempted: int = 0
 
 
 class EmulatedEngine:
-    """Run requests step by step; a crash ends all of them and forgets everything."""
+    """Run requests step by step; a crash ends all of them and empties the cache."""
 
     def __init__(self, *, name: str, speed: EngineSpeed, slowness: float) -> None:
         self.name = name
@@ -69,28 +72,28 @@
         self._waiting: list[Generation] = []
         self._running: list[Generation] = []
         self._cache: OrderedDict[str, int] = OrderedDict()
-        self._seen: set[str] = set()
-        self._work = asyncio.Event()
+        self._seen_parts: set[str] = set()
+        self._has_work = asyncio.Event()
         self.totals = EngineTotals()
-        self.down = False
+        self.is_down = False
         self.started_ms = 1
         self._task = asyncio.create_task(self._run())
 
-    def admit(self, generation: Generation) -> None:
-        """Queue a request by urgency, then by arrival."""
+    def enqueue(self, generation: Generation) -> None:
+        """Queue a request by urgency, then by time of arrival."""
         self._waiting.append(generation)
         self._waiting.sort(key=lambda item: item.urgency)
-        self._work.set()
+        self._has_work.set()
 
-    def drop(self, generation: Generation) -> None:
-        """End a request whose host has closed its connection."""
+    def cancel(self, generation: Generation) -> None:
+        """Remove a request whose host has closed its connection."""
         for queue in (self._waiting, self._running):
             if generation in queue:
                 queue.remove(generation)
 
     def crash(self) -> None:
-        """Lose all requests and all memory."""
-        self.down = True
+        """Stop the engine; all requests and the cache are lost."""
+        self.is_down = True
         for generation in [*self._running, *self._waiting]:
             generation.events.put_nowait(None)
         self._running.clear()
@@ -98,107 +101,108 @@
         self._cache.clear()
 
     def restart(self) -> None:
-        """Start again under the same name."""
-        self.down = False
+        """Start the engine again under the same name, with a new start time."""
+        self.is_down = False
         self.started_ms += 1
 
     async def _run(self) -> None:
         while True:
             if not self._waiting and not self._running:
-                self._work.clear()
-                await self._work.wait()
-            self._start_waiting()
-            seconds = self._plan_step()
+                self._has_work.clear()
+                await self._has_work.wait()
+            self._admit_waiting()
+            step_s = self._prefill_chunk()
             running = list(self._running)
-            await asyncio.sleep(seconds)
+            await asyncio.sleep(step_s)
             self._end_step([item for item in running if item in self._running])
 
-    def _start_waiting(self) -> None:
+    def _admit_waiting(self) -> None:
         while self._waiting and len(self._running) < self.speed.slots:
             generation = self._waiting[0]
-            if self._running and self._count_kv() + generation.n_prompt > (
+            if self._running and self._count_kv() + generation.n_prompt_tokens > (
                 self.speed.kv_tokens
             ):
                 return
             self._waiting.pop(0)
-            generation.begun = False
+            generation.prefill_started = False
             self._running.append(generation)
 
     def _count_kv(self) -> int:
-        return sum(item.n_kv for item in self._running)
+        return sum(item.n_kv_tokens for item in self._running)
 
-    def _find_kept(self, generation: Generation) -> int:
-        n_kept = 0
+    def _use_cached_prefix(self, generation: Generation) -> int:
+        n_cached = 0
         for part in generation.prompt:
             if part.name not in self._cache:
                 break
             self._cache.move_to_end(part.name)
-            n_kept += part.n_tokens
-        self.totals.found += n_kept
-        # The last token is always read, for it brings the first one of the answer.
-        return min(n_kept, generation.n_prompt - 1)
-
-    def _plan_step(self) -> float:
-        """Read the next chunk of prompts; return the seconds that the step takes."""
-        left = self.speed.chunk_tokens
-        pairs = 0
+            n_cached += part.n_tokens
+        self.totals.n_found_in_cache += n_cached
+        # The last token is always computed, because it yields the first output token.
+        return min(n_cached, generation.n_prompt_tokens - 1)
+
+    def _prefill_chunk(self) -> float:
+        """Prefill the next chunk of prompts; return the step's duration in seconds."""
+        n_left = self.speed.prefill_chunk_tokens
+        n_pairs = 0
         for generation in self._running:
-            if left <= 0:
+            if n_left <= 0:
                 break
-            if not generation.begun:
-                # What an earlier prompt has read by now is found.
-                generation.begun = True
-                generation.n_read = self._find_kept(generation)
-            n_tokens = min(left, generation.n_prompt - generation.n_read)
+            if not generation.prefill_started:
+                # The cache is looked up as late as possible, so that the request finds
+                # what earlier prompts have computed by now.
+                generation.prefill_started = True
+                generation.n_prefilled = self._use_cached_prefix(generation)
+            n_tokens = min(n_left, generation.n_prompt_tokens - generation.n_prefilled)
             if n_tokens <= 0:
                 continue
-            pairs += n_tokens * (generation.n_read + n_tokens // 2)
-            generation.n_read += n_tokens
-            left -= n_tokens
-            if generation.n_read == generation.n_prompt:
-                self._keep(generation)
-        n_read = self.speed.chunk_tokens - left
-        self.totals.read += n_read
+            n_pairs += n_tokens * (generation.n_prefilled + n_tokens // 2)
+            generation.n_prefilled += n_tokens
+            n_left -= n_tokens
+            if generation.n_prefilled == generation.n_prompt_tokens:
+                self._cache_prompt(generation)
+        n_prefilled = self.speed.prefill_chunk_tokens - n_left
+        self.totals.n_prefilled += n_prefilled
         ms = self.speed.step_ms + self.speed.step_ms_per_request * len(self._running)
-        ms += n_read / self.speed.prompt_tokens_per_ms
-        ms += self.speed.pairs_ms_per_million * pairs / 1e6
-        return ms * MS * self._slowness
+        ms += n_prefilled / self.speed.prefill_tokens_per_ms
+        ms += self.speed.attention_ms_per_million_pairs * n_pairs / 1e6
+        return ms * S_PER_MS * self._slowness
 
     def _end_step(self, running: list[Generation]) -> None:
         for generation in running:
-            if generation.n_read < generation.n_prompt:
+            if generation.n_prefilled < generation.n_prompt_tokens:
                 continue
-            generation.n_made += 1
-            is_last = generation.n_made >= generation.n_output
-            if is_last or generation.n_made % self.speed.tokens_per_event == 1:
-                generation.events.put_nowait(generation.n_made)
+            generation.n_generated += 1
+            is_last = generation.n_generated >= generation.n_output_tokens
+            if is_last or generation.n_generated % self.speed.tokens_per_event == 1:
+                generation.events.put_nowait(generation.n_generated)
             if is_last:
                 self._running.remove(generation)
-        self._make_room()
+        self._evict()
 
-    def _keep(self, generation: Generation) -> None:
+    def _cache_prompt(self, generation: Generation) -> None:
         for part in generation.prompt:
-            if part.name in self._seen and part.name not in self._cache:
-                self.totals.read_again += part.n_tokens
-            self._seen.add(part.name)
+            if part.name in self._seen_parts and part.name not in self._cache:
+                self.totals.n_prefilled_again += part.n_tokens
+            self._seen_parts.add(part.name)
             self._cache[part.name] = part.n_tokens
             self._cache.move_to_end(part.name)
 
-    def _make_room(self) -> None:
-        """Drop the least recently used parts, then the newest request."""
-        room = self.speed.kv_tokens - self._count_kv()
-        kept = sum(self._cache.values())
-        while self._cache and kept > room:
+    def _evict(self) -> None:
+        """Evict least recently used parts, then preempt the least urgent requests."""
+        n_free = self.speed.kv_tokens - self._count_kv()
+        n_cached = sum(self._cache.values())
+        while self._cache and n_cached > n_free:
             _, n_tokens = self._cache.popitem(last=False)
-            kept -= n_tokens
+            n_cached -= n_tokens
         while self._count_kv() > self.speed.kv_tokens and len(self._running) > 1:
-            newest = max(self._running, key=lambda item: item.urgency)
-            self._running.remove(newest)
-            newest.n_read = 0
-            self._waiting.insert(0, newest)
-            self.totals.preempted += 1
+            preempted = max(self._running, key=lambda item: item.urgency)
+            self._running.remove(preempted)
+            preempted.n_prefilled = 0
+            self._waiting.insert(0, preempted)
+            self.totals.n_preempted += 1
 
 
-def pick_slowness(generator: random.Random) -> float:
-    """Return how many times as long as the fastest a target takes."""
+def sample_slowness(generator: random.Random) -> float:
+    """Return a target's duration of a step relative to the fastest targets."""
     return generator.choice([1.0, 1.0, 1.3])
--- a/bench/emulator/host.py
+++ b/bench/emulator/host.py
@@ -1,4 +1,4 @@
-"""Run the product's parts of one host in the emulated network."""
+"""Run the real components of one host in the emulated network."""
 
 import asyncio
 import itertools
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from bench.emulator.network import EmulatedLinks, Network, SharedStore, StoreDoor
+from bench.emulator.network import EmulatedLinks, Network, SharedStore, StoreClient
 from bench.emulator.sender import EmulatedProbe, EmulatedSender
 from trefoilstage.components.fleet.messages import FLEET_CODEC
 from trefoilstage.components.fleet.watcher import BoardWatcher
@@ -29,63 +29,63 @@
 from trefoilstage.util.process_start import ProcessStart
 
 CONFIGURATION_KEY = "config"
-# A process is back this long after its end, besides the time that it stays away.
-START_S = 0.5
+# A process takes this long to start, in addition to the time that it stays down.
+RESTART_S = 0.5
 READY_POLL_S = 0.02
-MEET_S = 0.6
+FIRST_HEARTBEATS_WAIT_S = 0.6
 PORT = 1
 
 
 class HostLostError(TrefoilstageError):
-    """Report that the host that took a request has ended."""
+    """Report that the host which accepted a request was killed or is not running."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Registry:
-    """Hold the objects that the store's bytes stand for."""
+class StoredObjects:
+    """Map the bytes in the store to objects, so that nothing has to be decoded."""
 
     configurations: Mapping[bytes, FleetConfiguration]
     entries: Mapping[bytes, TargetEntry]
 
 
 class EmulatedHost:
-    """Start, kill and start again one host."""
+    """Represent one host, which can be killed and started again."""
 
     def __init__(
         self,
         *,
         name: str,
         network: Network,
-        shared: SharedStore,
-        registry: Registry,
+        shared_store: SharedStore,
+        stored_objects: StoredObjects,
         sender: EmulatedSender,
         probe: EmulatedProbe,
     ) -> None:
         self.name = name
         self._network = network
-        self._shared = shared
-        self._registry = registry
+        self._shared_store = shared_store
+        self._stored_objects = stored_objects
         self._sender = sender
         self._probe = probe
-        self._numbers = itertools.count(1)
-        self._boot = 1
+        self._incarnation_numbers = itertools.count(1)
+        self._n_boots = 1
         self._requests: set[asyncio.Task[Refusal | None]] = set()
         self._parts: FleetParts | None = None
         self._board: FleetBoard | None = None
-        self._door: StoreDoor | None = None
+        self._store_client: StoreClient | None = None
 
     @property
-    def serving(self) -> bool:
-        """Tell whether the host takes callers."""
+    def is_serving(self) -> bool:
+        """Return whether the host accepts callers."""
         return self._board is not None and self._board.phase is Phase.SERVING
 
     @property
-    def running(self) -> bool:
-        """Tell whether the host's process runs."""
+    def is_running(self) -> bool:
+        """Return whether the host's process is running."""
         return self._parts is not None
 
     async def start(self) -> None:
-        """Start a new incarnation, which knows nothing of the last."""
+        """Start a new incarnation with no state of the previous one."""
         settings = FleetSettings(
             host=self.name,
             data_center="brest",
@@ -97,32 +97,32 @@
         )
         board = FleetBoard(
             host=self.name,
-            incarnation=f"{self.name}-{next(self._numbers)}",
+            incarnation=f"{self.name}-{next(self._incarnation_numbers)}",
             data_center="brest",
         )
-        door = StoreDoor(host=self.name, shared=self._shared)
+        store_client = StoreClient(host=self.name, shared_store=self._shared_store)
         peers = PeerServer(address=self.name, port=PORT, codec=FLEET_CODEC)
         parts = make_fleet_parts(
             settings=settings,
             board=board,
-            store=door,
+            store=store_client,
             watcher=BoardWatcher(
                 board=board,
                 configuration_key=CONFIGURATION_KEY,
-                decode_configuration=self._registry.configurations.__getitem__,
-                decode_target=lambda name, data: self._registry.entries[data],
+                decode_configuration=self._stored_objects.configurations.__getitem__,
+                decode_target=lambda name, data: self._stored_objects.entries[data],
             ),
             links=EmulatedLinks(network=self._network),
             peers=peers,
             sender=self._sender,
             probe=self._probe,
             process_start=ProcessStart(
-                boot=f"boot-{self._boot}",
+                boot=f"boot-{self._n_boots}",
                 at=asyncio.get_running_loop().time(),
                 offset=0.0,
             ),
         )
-        self._board, self._door, self._parts = board, door, parts
+        self._board, self._store_client, self._parts = board, store_client, parts
         self._network.servers[parts.membership.peer_url] = peers
         for service in parts.list_services():
             await service.start()
@@ -132,19 +132,19 @@
         while board.configuration is None:
             await asyncio.sleep(READY_POLL_S)
         loop = asyncio.get_running_loop()
-        met_by = loop.time() + MEET_S
-        while not parts.membership.has_met_all() and loop.time() < met_by:
+        wait_until = loop.time() + FIRST_HEARTBEATS_WAIT_S
+        while not parts.membership.has_met_all() and loop.time() < wait_until:
             await asyncio.sleep(READY_POLL_S)
         board.phase = Phase.SERVING
         parts.membership.beat_soon()
 
-    async def kill(self, *, power: bool) -> None:
-        """End the process at once; without power its steady clock begins anew."""
-        parts, door = self._parts, self._door
-        if parts is None or door is None:
+    async def kill(self, *, loses_power: bool) -> None:
+        """Kill the process; a loss of power also starts a new boot."""
+        parts, store_client = self._parts, self._store_client
+        if parts is None or store_client is None:
             return
-        self._boot += power
-        door.killed = True
+        self._n_boots += loses_power
+        store_client.killed = True
         self._network.servers.pop(parts.membership.peer_url, None)
         self._starting.cancel()
         self._parts = self._board = None
@@ -162,14 +162,14 @@
         workspace: Workspace,
         reply: CallerReply,
     ) -> Refusal | None:
-        """Answer a caller; return why it gets no answer, or raise HostLostError."""
+        """Serve a caller; return a refusal if there is one, or raise HostLostError."""
         parts = self._parts
         if parts is None:
             raise HostLostError("refused")
         now = asyncio.get_running_loop().time()
         state = RequestState(
             request=request,
-            # Each caller asks for something else; its repeats bear the same id.
+            # Callers send different bodies; retries of one caller repeat its body.
             body=request.request_id.encode(),
             route=route,
             workspace=workspace,
@@ -184,6 +184,6 @@
         except asyncio.CancelledError:
             if task.cancelled():
                 raise HostLostError("reset") from None
-            # The caller has left.
+            # The caller has given up.
             task.cancel()
             raise
--- a/bench/emulator/network.py
+++ b/bench/emulator/network.py
@@ -1,4 +1,4 @@
-"""Carry messages between emulated hosts, and their calls to the store."""
+"""Emulate the network between hosts, and between hosts and the store."""
 
 import asyncio
 from collections import defaultdict
@@ -19,26 +19,26 @@
 
 ONE_WAY_S = 0.0007
 STORE_CALL_S = 0.006
-# A call into a cut hangs until the caller's own timeout.
-HANG_S = 1.5
+# A call from a cut host hangs this long, as until a client's timeout.
+CUT_CALL_S = 1.5
 
 
 class SharedStore:
-    """Hold the store that all hosts call, and who is cut from it."""
+    """Represent the store that all hosts share, with its delay and cut hosts."""
 
     def __init__(self) -> None:
         self.store = KeyedStore()
         self.slowness = 1.0
-        self.cut: set[str] = set()
+        self.cut_hosts: set[str] = set()
         self.n_calls = 0
         self._changed: dict[Topic, asyncio.Event] = defaultdict(asyncio.Event)
 
     def note_change(self, topic: Topic) -> None:
-        """Wake the reads that wait for a topic."""
+        """Wake the reads that wait for a change of a topic."""
         self._changed.pop(topic, asyncio.Event()).set()
 
     async def wait_for_change(self, topic: Topic, seconds: float) -> None:
-        """Wait until a topic changes, or for some seconds."""
+        """Wait until a topic changes, at most `seconds`."""
         try:
             async with asyncio.timeout(seconds):
                 await self._changed[topic].wait()
@@ -46,39 +46,41 @@
             return
 
 
-class StoreDoor:
-    """Call the store for one incarnation of a host."""
+class StoreClient:
+    """Call the shared store on behalf of one incarnation of a host."""
 
-    def __init__(self, *, host: str, shared: SharedStore) -> None:
+    def __init__(self, *, host: str, shared_store: SharedStore) -> None:
         self._host = host
-        self._shared = shared
+        self._shared_store = shared_store
         self.killed = False
 
-    async def _travel(self) -> None:
-        self._shared.n_calls += 1
-        if self.killed or self._host in self._shared.cut:
-            await asyncio.sleep(HANG_S)
+    async def _call_store(self) -> None:
+        self._shared_store.n_calls += 1
+        if self.killed or self._host in self._shared_store.cut_hosts:
+            await asyncio.sleep(CUT_CALL_S)
             raise StoreUnavailableError("cut off")
-        await asyncio.sleep(STORE_CALL_S * self._shared.slowness)
+        await asyncio.sleep(STORE_CALL_S * self._shared_store.slowness)
         if self.killed:
             raise StoreUnavailableError("killed")
 
     async def list_newest(self, topic: Topic, partition: int = 0) -> Listing:
         """Return the newest record of each key."""
-        await self._travel()
-        return await self._shared.store.list_newest(topic, partition)
+        await self._call_store()
+        return await self._shared_store.store.list_newest(topic, partition)
 
     async def read(
         self, topic: Topic, offset: int, wait_s: float, partition: int = 0
     ) -> Listing:
-        """Return the records from an offset on; wait for one if there is none."""
-        await self._travel()
-        found = await self._shared.store.read(topic, offset, wait_s, partition)
+        """Return the records from an offset on; wait for one up to `wait_s`."""
+        await self._call_store()
+        found = await self._shared_store.store.read(topic, offset, wait_s, partition)
         if not found.records and wait_s > 0:
-            await self._shared.wait_for_change(topic, wait_s)
-            if self.killed or self._host in self._shared.cut:
+            await self._shared_store.wait_for_change(topic, wait_s)
+            if self.killed or self._host in self._shared_store.cut_hosts:
                 raise StoreUnavailableError("cut off")
-            found = await self._shared.store.read(topic, offset, wait_s, partition)
+            found = await self._shared_store.store.read(
+                topic, offset, wait_s, partition
+            )
         return found
 
     async def put(
@@ -91,16 +93,16 @@
         at: int | None = None,
     ) -> int | None:
         """Write a key and return its offset, None if the topic didn't end at `at`."""
-        await self._travel()
-        offset = await self._shared.store.put(
+        await self._call_store()
+        offset = await self._shared_store.store.put(
             topic, key, value, partition=partition, at=at
         )
-        self._shared.note_change(topic)
+        self._shared_store.note_change(topic)
         return offset
 
 
 class Network:
-    """Know which host's server lies at which address."""
+    """Map the URLs of running hosts to their servers, and count messages."""
 
     def __init__(self) -> None:
         self.servers: dict[str, PeerServer] = {}
@@ -108,7 +110,7 @@
 
 
 class EmulatedLink(PeerLink):
-    """Carry messages to one address."""
+    """Deliver messages to the host at one URL."""
 
     def __init__(self, *, url: str, network: Network) -> None:
         self.url = url
@@ -118,19 +120,19 @@
         """Return the peer's reply, or raise PeerUnavailableError."""
         try:
             async with asyncio.timeout(timeout_s):
-                reply = await self._travel(message)
+                reply = await self._deliver(message)
                 await asyncio.sleep(ONE_WAY_S)
         except TimeoutError as error:
-            raise PeerUnavailableError("no answer") from error
+            raise PeerUnavailableError("no reply") from error
         if isinstance(reply, ErrorReply):
             raise PeerUnavailableError(reply.detail)
         return reply
 
     async def tell(self, message: Any, *, timeout_s: float) -> None:
         """Send a message that gets no reply."""
-        await self._travel(message)
+        await self._deliver(message)
 
-    async def _travel(self, message: Any) -> Any:
+    async def _deliver(self, message: Any) -> Any:
         self._network.n_messages += 1
         await asyncio.sleep(ONE_WAY_S)
         server = self._network.servers.get(self.url)
@@ -140,12 +142,12 @@
 
 
 class EmulatedLinks(PeerLinks):
-    """Own the links of one host."""
+    """Provide the links of one host."""
 
     def __init__(self, *, network: Network) -> None:
         super().__init__(outbound_address="", codec=FLEET_CODEC)
         self._network = network
 
     def get_link(self, url: str) -> PeerLink:
-        """Return the link to an address."""
+        """Return a link to a URL."""
         return EmulatedLink(url=url, network=self._network)
--- a/bench/emulator/results.py
+++ b/bench/emulator/results.py
@@ -1,4 +1,4 @@
-"""Show what callers got of emulated days, as tables and as a plot."""
+"""Format the outcomes of an emulated day as tables and plot them."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Sequence
@@ -6,7 +6,7 @@
 from statistics import quantiles
 
 from bench.emulator.callers import Outcome, Result
-from bench.emulator.world import Day
+from bench.emulator.world import DayResult
 
 WINDOW_S = 2.0
 COLORS = {
@@ -17,43 +17,45 @@
 }
 
 
-def count_share(outcomes: Sequence[Outcome], result: Result) -> float:
-    """Return the share of requests that ended in a way, 0 without any."""
+def compute_share(outcomes: Sequence[Outcome], result: Result) -> float:
+    """Return the share of requests with a result, 0 without requests."""
     if not outcomes:
         return 0.0
     return sum(item.result is result for item in outcomes) / len(outcomes)
 
 
-def find_quantile(outcomes: Iterable[Outcome], percent: int) -> float:
-    """Return a percentile of the seconds to the first event, 0 with too few."""
-    firsts = [item.first_s for item in outcomes if item.first_s is not None]
+def compute_percentile(outcomes: Iterable[Outcome], percent: int) -> float:
+    """Return a percentile of the seconds to the first event, 0 with fewer than two."""
+    firsts = [item.first_event_s for item in outcomes if item.first_event_s is not None]
     return quantiles(firsts, n=100)[percent - 1] if len(firsts) > 1 else 0.0
 
 
 def group_by_window(outcomes: Iterable[Outcome]) -> dict[float, list[Outcome]]:
-    """Return the requests by the window in which they were asked."""
-    begin = min((item.asked_at for item in outcomes), default=0.0)
+    """Group requests by the window of WINDOW_S in which they were first sent."""
+    begin = min((item.requested_at for item in outcomes), default=0.0)
     groups: dict[float, list[Outcome]] = defaultdict(list)
     for item in outcomes:
-        groups[(item.asked_at - begin) // WINDOW_S * WINDOW_S].append(item)
+        groups[(item.requested_at - begin) // WINDOW_S * WINDOW_S].append(item)
     return dict(sorted(groups.items()))
 
 
-def describe_groups(title: str, groups: dict[str, list[Outcome]]) -> list[str]:
-    """Return a table with a row a group."""
-    lines = [f"| {title} | asked | in time | late | refused | failed | p50 s | p90 s |"]
+def format_groups(title: str, groups: dict[str, list[Outcome]]) -> list[str]:
+    """Return the lines of a table with one row per group."""
+    lines = [
+        f"| {title} | requests | in time | late | refused | failed | p50 s | p90 s |"
+    ]
     lines.append("| --- | --- | --- | --- | --- | --- | --- | --- |")
     for name, outcomes in groups.items():
         counts = Counter(item.result for item in outcomes)
         cells = [str(counts[result]) for result in Result]
-        p50, p90 = (find_quantile(outcomes, percent) for percent in (50, 90))
+        p50, p90 = (compute_percentile(outcomes, percent) for percent in (50, 90))
         row = [name, str(len(outcomes)), *cells, f"{p50:.2f}", f"{p90:.2f}"]
         lines.append(f"| {' | '.join(row)} |")
     return lines
 
 
-def describe_day(day: Day) -> str:
-    """Return what callers got by kind and window, and what it took."""
+def format_day(day: DayResult) -> str:
+    """Return tables of outcomes by kind and by window, and the totals of the day."""
     kinds: dict[str, list[Outcome]] = defaultdict(list)
     for item in day.outcomes:
         kinds[item.kind].append(item)
@@ -61,20 +63,22 @@
         f"{begin:.0f} s": items
         for begin, items in group_by_window(day.outcomes).items()
     }
-    engines = day.engines
-    lines = describe_groups("kind", dict(sorted(kinds.items())))
-    lines += ["", *describe_groups("from", windows), ""]
+    engines = day.engine_totals
+    lines = format_groups("kind", dict(sorted(kinds.items())))
+    lines += ["", *format_groups("from", windows), ""]
     lines.append(
-        f"prompt tokens read {engines.read}, of them again {engines.read_again}; "
-        f"found in memory {engines.found}; requests put back {engines.preempted}; "
+        f"prompt tokens prefilled {engines.n_prefilled}, "
+        f"of these again {engines.n_prefilled_again}; "
+        f"found in cache {engines.n_found_in_cache}; "
+        f"requests preempted {engines.n_preempted}; "
         f"store calls {day.n_store_calls}; messages {day.n_messages}"
     )
     return "\n".join(lines)
 
 
-def plot_day(day: Day, path: Path) -> None:
-    """Draw the results and the first events by window, as a file."""
-    # Takes half a second to load, which only a plot needs.
+def plot_day(day: DayResult, path: Path) -> None:
+    """Plot the results and the times to the first event by window to a file."""
+    # Imported here because loading takes half a second and only plots need it.
     from matplotlib.figure import Figure
 
     figure = Figure(figsize=(10, 7))
@@ -99,9 +103,9 @@
     counts.set_ylabel("requests")
     counts.legend()
     for percent in (50, 90, 99):
-        values = [find_quantile(items, percent) for items in windows.values()]
+        values = [compute_percentile(items, percent) for items in windows.values()]
         firsts.plot(list(windows), values, label=f"p{percent}")
     firsts.set_ylabel("first event, s")
-    firsts.set_xlabel("asked at, s")
+    firsts.set_xlabel("sent at, s")
     firsts.legend()
     figure.savefig(path)
--- a/bench/emulator/scenario.py
+++ b/bench/emulator/scenario.py
@@ -1,4 +1,4 @@
-"""Check what an emulated day is made of."""
+"""Read the scenario of an emulated day from its TOML file and validate it."""
 
 import tomllib
 from enum import StrEnum
@@ -15,15 +15,15 @@
 
 
 class Model(BaseModel):
-    """Refuse fields that nobody reads."""
+    """Reject unknown fields; the base of all tables of a scenario file."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class SharedPart(Model):
-    """Describe a part of prompts that some requests share."""
+    """Describe a prompt part that is shared by requests about the same subject."""
 
-    tokens: Positive  # in the mean
+    tokens: Positive  # on average
     n_subjects: Annotated[int, Field(ge=1)]
 
 
@@ -37,8 +37,8 @@
     deadline_s: Positive
     priority: int = 1
     shared: tuple[SharedPart, ...] = ()
-    own_tokens: float = 0.0  # in the mean
-    output_tokens: float = 0.0  # in the mean
+    own_tokens: float = 0.0  # on average
+    output_tokens: float = 0.0  # on average
     resumable: bool = False
     max_attempts: int = 1
     gap_objective_s: float = 0.4
@@ -53,7 +53,7 @@
 
 
 class Services(Model):
-    """Describe the targets of plain calls."""
+    """Describe the plain HTTP services."""
 
     n: Annotated[int, Field(ge=1)]
     slots: int = 6
@@ -61,7 +61,7 @@
 
 
 class FaultKind(StrEnum):
-    """Name what goes wrong."""
+    """Name the faults and loads that a day can include."""
 
     STORE_CUT = "store_cut"
     STORE_SLOW = "store_slow"
@@ -70,11 +70,11 @@
     ENGINES_CRASHED = "engines_crashed"
     BURST = "burst"
     HOT_WORKSPACE = "hot_workspace"
-    CRASHING_REQUEST = "crashing_request"  # one, sent `factor` times a second
+    CRASHING_REQUEST = "crashing_request"  # the same request, `factor` times a second
 
 
 class Fault(Model):
-    """Describe one fault."""
+    """Describe one fault, when it begins and how long it lasts."""
 
     kind: FaultKind
     at_s: float
@@ -89,7 +89,7 @@
     duration_s: Positive
     n_hosts: Annotated[int, Field(ge=1)]
     n_workspaces: Annotated[int, Field(ge=1)] = 10
-    # Tokens of all budgets, in multiples of what is asked for in the mean.
+    # Tokens of all budgets, as a multiple of the expected demand.
     budget_factor: Positive = 1.3
     engines: Engines
     services: Services
@@ -98,9 +98,9 @@
 
 
 def load_scenario(name: str) -> Scenario:
-    """Return a scenario by its name, or raise ValueError."""
+    """Return the scenario of a name, or raise ValueError if there is none."""
     path = FOLDER / f"{name}.toml"
     if not path.is_file():
         known = ", ".join(sorted(item.stem for item in FOLDER.glob("*.toml")))
-        raise ValueError(f"no scenario {name}; there are: {known}")
+        raise ValueError(f"unknown scenario {name}; known scenarios: {known}")
     return Scenario.model_validate(tomllib.loads(path.read_text()))
--- a/bench/emulator/sender.py
+++ b/bench/emulator/sender.py
@@ -19,7 +19,7 @@
 from trefoilstage.components.forwarding.translator import AnswerHead, ForwardOptions
 
 ONE_WAY_S = 0.0007
-HEAD = AnswerHead(
+ANSWER_HEAD = AnswerHead(
     status=200,
     not_run=False,
     misdirected=False,
@@ -32,63 +32,63 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class EmulatedAnswer(OpenAnswer):
-    """Hold an answer that an emulated engine makes."""
+class EngineAnswer(OpenAnswer):
+    """Represent the stream of an emulated engine."""
 
     engine: EmulatedEngine
     generation: Generation
     first: int
 
     async def read(self) -> AsyncIterator[bytes]:
-        """Yield events as they are made, or raise AnswerBrokenError."""
-        made: int | None = self.first
+        """Yield events as they are generated; raise AnswerBrokenError on a crash."""
+        n_generated: int | None = self.first
         number = 0
-        while made is not None:
+        while n_generated is not None:
             number += 1
             yield f"id: {number}\ndata: x\n\n".encode()
-            if made >= self.generation.n_output:
+            if n_generated >= self.generation.n_output_tokens:
                 return
-            made = await self.generation.events.get()
+            n_generated = await self.generation.events.get()
         raise AnswerBrokenError("the engine crashed")
 
     def close(self) -> None:
-        """End the request at the engine, unless it is complete."""
-        self.engine.drop(self.generation)
+        """Cancel the request at the engine unless it is complete."""
+        self.engine.cancel(self.generation)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class WholeAnswer(OpenAnswer):
-    """Hold the answer of an emulated plain service."""
+class ServiceAnswer(OpenAnswer):
+    """Represent the complete answer of an emulated service."""
 
     async def read(self) -> AsyncIterator[bytes]:
         """Yield the body."""
         yield b"done"
 
     def close(self) -> None:
-        """Do nothing; the answer is complete."""
+        """Do nothing, because the answer is complete."""
 
 
 class EmulatedService:
-    """Serve plain calls with a few slots and a queue."""
+    """Emulate a plain HTTP service with a few slots and a queue."""
 
     def __init__(
         self, *, name: str, slots: int, work_s: float, generator: random.Random
     ) -> None:
         self.name = name
-        self.down = False
+        self.is_down = False
         self.started_ms = 1
         self._work_s = work_s
         self._generator = generator
         self._slots = asyncio.Semaphore(slots)
 
     async def serve(self) -> None:
-        """Take the time of one call."""
+        """Wait for a slot and for the duration of one call."""
         async with self._slots:
             await asyncio.sleep(self._generator.gammavariate(4.0, self._work_s / 4.0))
 
 
 class EmulatedProbe:
-    """Open connections to emulated targets."""
+    """Probe whether emulated targets accept connections."""
 
     def __init__(
         self, *, find_target: Callable[[str], EmulatedEngine | EmulatedService | None]
@@ -96,26 +96,26 @@
         self._find_target = find_target
 
     async def connect(self, address: str) -> ProbeResult:
-        """Tell whether the target of an address runs."""
+        """Return whether the target at an address accepts connections."""
         await asyncio.sleep(ONE_WAY_S)
         found = self._find_target(address)
-        runs = found is not None and not found.down
-        return ProbeResult.ACCEPTED if runs else ProbeResult.REFUSED
+        is_running = found is not None and not found.is_down
+        return ProbeResult.ACCEPTED if is_running else ProbeResult.REFUSED
 
 
 class EmulatedSender(TargetSender):
-    """Bring requests to emulated targets."""
+    """Send requests to emulated targets."""
 
     def __init__(
         self,
         *,
         find_target: Callable[[str], EmulatedEngine | EmulatedService | None],
-        pick_output: Callable[[CallerRequest], int],
-        note_start: Callable[[CallerRequest, EmulatedEngine], None],
+        get_n_output_tokens: Callable[[CallerRequest], int],
+        on_start: Callable[[CallerRequest, EmulatedEngine], None],
     ) -> None:
         self._find_target = find_target
-        self._pick_output = pick_output
-        self._note_start = note_start
+        self._get_n_output_tokens = get_n_output_tokens
+        self._on_start = on_start
 
     async def send(
         self,
@@ -124,39 +124,39 @@
         target: TargetEntry,
         options: ForwardOptions,
     ) -> OpenAnswer | NotRun | InvalidAnswer:
-        """Return a target's answer, or whether it can have run the request."""
+        """Return an answer, NotRun if not connected, InvalidAnswer after a crash."""
         found = self._find_target(target.name)
         await asyncio.sleep(ONE_WAY_S)
-        if found is None or found.down or found.started_ms != target.started_ms:
+        if found is None or found.is_down or found.started_ms != target.started_ms:
             return NotRun(reason="refused")
         if isinstance(found, EmulatedEngine):
             return await self._generate(found, request, options)
         await found.serve()
-        if found.down:
+        if found.is_down:
             return InvalidAnswer(reason="reset")
-        return WholeAnswer(head=HEAD, headers=[], response=cast(Any, None))
+        return ServiceAnswer(head=ANSWER_HEAD, headers=[], response=cast(Any, None))
 
     async def _generate(
         self, engine: EmulatedEngine, request: CallerRequest, options: ForwardOptions
     ) -> OpenAnswer | InvalidAnswer:
         generation = Generation(
-            request=request.request_id,
+            request_id=request.request_id,
             prompt=request.prompt,
-            n_output=self._pick_output(request),
+            n_output_tokens=self._get_n_output_tokens(request),
             urgency=5 if options.urgency is None else options.urgency,
         )
-        engine.admit(generation)
+        engine.enqueue(generation)
         try:
             first = await generation.events.get()
         except asyncio.CancelledError:
-            engine.drop(generation)
+            engine.cancel(generation)
             raise
         if first is None:
             return InvalidAnswer(reason="reset")
-        self._note_start(request, engine)
+        self._on_start(request, engine)
         await asyncio.sleep(ONE_WAY_S)
-        return EmulatedAnswer(
-            head=HEAD,
+        return EngineAnswer(
+            head=ANSWER_HEAD,
             headers=[],
             response=cast(Any, None),
             engine=engine,
--- a/bench/emulator/world.py
+++ b/bench/emulator/world.py
@@ -1,4 +1,4 @@
-"""Play an emulated day: engines, hosts, callers and faults."""
+"""Run an emulated day with engines, hosts, callers and faults."""
 
 import asyncio
 import random
@@ -6,15 +6,20 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from bench.emulator.callers import Caller, Outcome, Prompts
+from bench.emulator.callers import Caller, Outcome, RequestSampler
 from bench.emulator.clock import run_virtually
 from bench.emulator.engine import (
     EmulatedEngine,
     EngineSpeed,
     EngineTotals,
-    pick_slowness,
+    sample_slowness,
+)
+from bench.emulator.host import (
+    CONFIGURATION_KEY,
+    RESTART_S,
+    EmulatedHost,
+    StoredObjects,
 )
-from bench.emulator.host import CONFIGURATION_KEY, START_S, EmulatedHost, Registry
 from bench.emulator.network import Network, SharedStore
 from bench.emulator.scenario import Fault, FaultKind, Kind, Scenario
 from bench.emulator.sender import EmulatedProbe, EmulatedSender, EmulatedService
@@ -34,61 +39,60 @@
 
 ASSISTANT = "assistant"
 BOOKING = "booking"
-WARM_UP_S = 3.0  # hosts meet before the first caller
-SETTLE_S = 12.0  # callers that asked last get their answers
+WARM_UP_S = 3.0  # hosts exchange heartbeats before the first request
+SETTLE_S = 12.0  # the last requests get their answers
 HEARTBEAT_S = 1.2
-# A crashing request ends its engine this long after its first token; the engine comes
-# back after some seconds.
+# A crashing request ends its engine this long after its first token.
 CRASH_AFTER_S = 0.08
-CRASHED_S = 3.0
+CRASH_RESTART_S = 3.0
 
 
 @dataclass(kw_only=True, slots=True)
-class Day:
-    """Hold what callers got of an emulated day, and what it took."""
+class DayResult:
+    """Describe the outcomes of an emulated day and the work that it took."""
 
     outcomes: list[Outcome] = field(default_factory=list)
-    engines: EngineTotals = field(default_factory=EngineTotals)
-    n_crashes: int = 0  # of engines under the crashing request
+    engine_totals: EngineTotals = field(default_factory=EngineTotals)
+    n_crashes: int = 0  # caused by the crashing request
     n_store_calls: int = 0
     n_messages: int = 0
 
 
 class World:
-    """Hold one emulated day while it is played."""
+    """Run one emulated day."""
 
     def __init__(self, *, scenario: Scenario, seed: int) -> None:
         self._scenario = scenario
         self._generator = random.Random(seed)
-        self._prompts = Prompts(generator=random.Random(seed + 1))
+        self._request_sampler = RequestSampler(generator=random.Random(seed + 1))
         self._network = Network()
-        self._shared = SharedStore()
+        self._shared_store = SharedStore()
         self._configurations: dict[bytes, FleetConfiguration] = {}
         self._entries: dict[bytes, TargetEntry] = {}
-        self._burst = 1.0
-        self._hot: str = ""
-        self._hot_factor = 1.0
+        self._traffic_factor = 1.0
+        self._hot_workspace: str = ""
+        self._hot_workspace_factor = 1.0
         self._tasks: set[asyncio.Task[None]] = set()
-        self._crashing: CallerRequest | None = None
-        self.day = Day()
+        self._crashing_request: CallerRequest | None = None
+        self.day = DayResult()
 
-    async def play(self) -> Day:
-        """Play the whole day."""
+    async def run_day(self) -> DayResult:
+        """Run the whole day and return its outcomes and totals."""
         self._make_targets()
         await self._publish_configuration()
         await self._start_hosts()
-        self._start(self._register_targets())
+        self._start_task(self._register_targets())
         await asyncio.sleep(WARM_UP_S)
-        self._opened = asyncio.get_running_loop().time()
+        self._traffic_started_at = asyncio.get_running_loop().time()
         for fault in self._scenario.faults:
-            self._start(self._play_fault(fault))
-        callers = [self._send_kind(kind) for kind in self._scenario.kinds]
+            self._start_task(self._run_fault(fault))
+        callers = [self._send_requests(kind) for kind in self._scenario.kinds]
         await asyncio.gather(*callers)
         await asyncio.sleep(SETTLE_S)
-        self._count()
+        self._collect_totals()
         return self.day
 
-    def _start(self, coroutine: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -100,7 +104,7 @@
             EmulatedEngine(
                 name=f"engine-{number}",
                 speed=speed,
-                slowness=pick_slowness(self._generator),
+                slowness=sample_slowness(self._generator),
             )
             for number in range(engines.n)
         ]
@@ -144,14 +148,18 @@
             workspaces=self._workspaces,
         )
         self._configurations[b"1"] = configuration
-        await self._shared.store.put(Topic.CONFIGURATION, CONFIGURATION_KEY, b"1")
+        await self._shared_store.store.put(Topic.CONFIGURATION, CONFIGURATION_KEY, b"1")
 
     def _make_workspaces(self) -> dict[str, Workspace]:
-        """Return the workspaces; the first is asked for most."""
+        """Return the workspaces; the n-th gets 1/n of the first one's traffic."""
         n = self._scenario.n_workspaces
-        self._weights = {f"ws-{number}": 1 / (number + 1) for number in range(n)}
-        weights = sum(self._weights.values())
-        per_s = sum(kind.per_s * count_mean(kind) for kind in self._scenario.kinds)
+        self._workspace_weights = {
+            f"ws-{number}": 1 / (number + 1) for number in range(n)
+        }
+        weights = sum(self._workspace_weights.values())
+        per_s = sum(
+            kind.per_s * compute_mean_tokens(kind) for kind in self._scenario.kinds
+        )
         total = per_s * self._scenario.duration_s * self._scenario.budget_factor
         return {
             name: Workspace(
@@ -159,22 +167,26 @@
                 priority=None,
                 prepaid_tokens=int(total * weight / weights),
             )
-            for name, weight in self._weights.items()
+            for name, weight in self._workspace_weights.items()
         }
 
     async def _start_hosts(self) -> None:
-        registry = Registry(configurations=self._configurations, entries=self._entries)
+        stored_objects = StoredObjects(
+            configurations=self._configurations, entries=self._entries
+        )
         sender = EmulatedSender(
             find_target=self._targets.get,
-            pick_output=lambda request: self._prompts.outputs[request.request_id],
-            note_start=self._note_start,
+            get_n_output_tokens=lambda request: (
+                self._request_sampler.n_output_tokens_by_request[request.request_id]
+            ),
+            on_start=self._crash_if_crashing,
         )
         self._hosts = [
             EmulatedHost(
                 name=f"host-{number}",
                 network=self._network,
-                shared=self._shared,
-                registry=registry,
+                shared_store=self._shared_store,
+                stored_objects=stored_objects,
                 sender=sender,
                 probe=EmulatedProbe(find_target=self._targets.get),
             )
@@ -194,8 +206,8 @@
     async def _register(
         self, target: EmulatedEngine | EmulatedService, sequence: int
     ) -> None:
-        if target.down:
-            await self._shared.store.put(Topic.TARGETS, target.name, None)
+        if target.is_down:
+            await self._shared_store.store.put(Topic.TARGETS, target.name, None)
             return
         is_engine = isinstance(target, EmulatedEngine)
         data = f"{target.name} {target.started_ms} {sequence}".encode()
@@ -208,56 +220,59 @@
             phase=TargetPhase.READY,
             started_ms=target.started_ms,
         )
-        await self._shared.store.put(Topic.TARGETS, target.name, data)
-        self._shared.note_change(Topic.TARGETS)
+        await self._shared_store.store.put(Topic.TARGETS, target.name, data)
+        self._shared_store.note_change(Topic.TARGETS)
 
-    async def _send_kind(self, kind: Kind) -> None:
+    async def _send_requests(self, kind: Kind) -> None:
         loop = asyncio.get_running_loop()
-        ends = self._opened + self._scenario.duration_s
-        while loop.time() < ends:
-            await asyncio.sleep(self._generator.expovariate(kind.per_s * self._burst))
-            self._start(self._ask(kind))
+        ends_at = self._traffic_started_at + self._scenario.duration_s
+        while loop.time() < ends_at:
+            await asyncio.sleep(
+                self._generator.expovariate(kind.per_s * self._traffic_factor)
+            )
+            self._start_task(self._send_request(kind))
 
-    async def _ask(self, kind: Kind) -> None:
+    async def _send_request(self, kind: Kind) -> None:
         caller = Caller(
             kind=kind,
             route=self._routes[kind.name],
             workspace=self._pick_workspace(),
-            request=self._prompts.draw_request(kind),
+            request=self._request_sampler.sample_request(kind),
             hosts=self._hosts,
             generator=self._generator,
         )
-        self.day.outcomes.append(await caller.ask())
+        self.day.outcomes.append(await caller.run())
 
     def _pick_workspace(self) -> Workspace:
-        names = list(self._weights)
+        names = list(self._workspace_weights)
         weights = [
-            weight * (self._hot_factor if name == self._hot else 1.0)
-            for name, weight in self._weights.items()
+            weight
+            * (self._hot_workspace_factor if name == self._hot_workspace else 1.0)
+            for name, weight in self._workspace_weights.items()
         ]
         return self._workspaces[self._generator.choices(names, weights=weights)[0]]
 
-    async def _play_fault(self, fault: Fault) -> None:
+    async def _run_fault(self, fault: Fault) -> None:
         await asyncio.sleep(fault.at_s)
-        await FAULTS[fault.kind](self, fault)
+        await FAULT_HANDLERS[fault.kind](self, fault)
 
     async def _cut_store(self, fault: Fault) -> None:
-        cut = self._pick_hosts(fault.share)
-        self._shared.cut.update(host.name for host in cut)
+        cut = self._sample_hosts(fault.share)
+        self._shared_store.cut_hosts.update(host.name for host in cut)
         await asyncio.sleep(fault.for_s)
-        self._shared.cut.difference_update(host.name for host in cut)
+        self._shared_store.cut_hosts.difference_update(host.name for host in cut)
 
     async def _slow_store(self, fault: Fault) -> None:
-        self._shared.slowness = fault.factor
+        self._shared_store.slowness = fault.factor
         await asyncio.sleep(fault.for_s)
-        self._shared.slowness = 1.0
+        self._shared_store.slowness = 1.0
 
     async def _kill_hosts(self, fault: Fault) -> None:
-        power = fault.kind is FaultKind.POWER_LOST
-        killed = self._pick_hosts(fault.share)
+        loses_power = fault.kind is FaultKind.POWER_LOST
+        killed = self._sample_hosts(fault.share)
         for host in killed:
-            await host.kill(power=power)
-        await asyncio.sleep(fault.for_s + START_S)
+            await host.kill(loses_power=loses_power)
+        await asyncio.sleep(fault.for_s + RESTART_S)
         for host in killed:
             await host.start()
 
@@ -271,67 +286,69 @@
             engine.restart()
 
     async def _repeat_crashing(self, fault: Fault) -> None:
-        """Send one request again and again, each time from a caller of its own."""
+        """Send the same request repeatedly, each time from a new caller."""
         kind = next(kind for kind in self._scenario.kinds if kind.own_tokens)
-        self._crashing = self._prompts.draw_request(kind)
+        self._crashing_request = self._request_sampler.sample_request(kind)
         loop = asyncio.get_running_loop()
-        ends = loop.time() + fault.for_s
-        while loop.time() < ends:
+        ends_at = loop.time() + fault.for_s
+        while loop.time() < ends_at:
             caller = Caller(
                 kind=kind,
                 route=self._routes[kind.name],
                 workspace=next(iter(self._workspaces.values())),
-                request=self._crashing,
+                request=self._crashing_request,
                 hosts=self._hosts,
                 generator=self._generator,
             )
-            self._start(self._ignore(caller))
+            self._start_task(self._send_uncounted(caller))
             await asyncio.sleep(1 / fault.factor)
 
-    async def _ignore(self, caller: Caller) -> None:
-        # Its answer is not counted.
-        await caller.ask()
+    async def _send_uncounted(self, caller: Caller) -> None:
+        # The outcome is not counted.
+        await caller.run()
 
-    def _note_start(self, request: CallerRequest, engine: EmulatedEngine) -> None:
-        if request is self._crashing:
-            self._start(self._crash(engine))
+    def _crash_if_crashing(
+        self, request: CallerRequest, engine: EmulatedEngine
+    ) -> None:
+        if request is self._crashing_request:
+            self._start_task(self._crash_engine(engine))
 
-    async def _crash(self, engine: EmulatedEngine) -> None:
+    async def _crash_engine(self, engine: EmulatedEngine) -> None:
         await asyncio.sleep(CRASH_AFTER_S)
-        if engine.down:
+        if engine.is_down:
             return
         self.day.n_crashes += 1
         engine.crash()
-        await asyncio.sleep(CRASHED_S)
+        await asyncio.sleep(CRASH_RESTART_S)
         engine.restart()
 
     async def _burst_traffic(self, fault: Fault) -> None:
-        self._burst = fault.factor
+        self._traffic_factor = fault.factor
         await asyncio.sleep(fault.for_s)
-        self._burst = 1.0
+        self._traffic_factor = 1.0
 
     async def _heat_workspace(self, fault: Fault) -> None:
-        self._hot = next(iter(self._weights))
-        self._hot_factor = fault.factor
+        self._hot_workspace = next(iter(self._workspace_weights))
+        self._hot_workspace_factor = fault.factor
         await asyncio.sleep(fault.for_s)
-        self._hot = ""
+        self._hot_workspace = ""
 
-    def _pick_hosts(self, share: float) -> list[EmulatedHost]:
+    def _sample_hosts(self, share: float) -> list[EmulatedHost]:
         n = max(1, round(share * len(self._hosts)))
         return self._generator.sample(self._hosts, n)
 
-    def _count(self) -> None:
-        totals = self.day.engines
+    def _collect_totals(self) -> None:
+        totals = self.day.engine_totals
         for engine in self._engines:
-            totals.read += engine.totals.read
-            totals.read_again += engine.totals.read_again
-            totals.found += engine.totals.found
-            totals.preempted += engine.totals.preempted
-        self.day.n_store_calls = self._shared.n_calls
+            totals.n_prefilled += engine.totals.n_prefilled
+            totals.n_prefilled_again += engine.totals.n_prefilled_again
+            totals.n_found_in_cache += engine.totals.n_found_in_cache
+            totals.n_preempted += engine.totals.n_preempted
+        self.day.n_store_calls = self._shared_store.n_calls
         self.day.n_messages = self._network.n_messages
 
 
-FAULTS: dict[FaultKind, Callable[[World, Fault], Coroutine[Any, Any, None]]] = {
+FAULT_HANDLERS: dict[FaultKind, Callable[[World, Fault], Coroutine[Any, Any, None]]] = {
     FaultKind.STORE_CUT: World._cut_store,
     FaultKind.STORE_SLOW: World._slow_store,
     FaultKind.HOSTS_KILLED: World._kill_hosts,
@@ -363,16 +380,16 @@
     )
 
 
-def count_mean(kind: Kind) -> float:
-    """Return the tokens that a request of a kind spends in the mean."""
+def compute_mean_tokens(kind: Kind) -> float:
+    """Return the mean number of tokens that a request of a kind spends."""
     shared = sum(part.tokens for part in kind.shared)
     return shared + kind.own_tokens + kind.output_tokens
 
 
-def play(scenario: Scenario, seed: int) -> Day:
-    """Play a scenario once; the same seed gives the same day."""
+def run_day(scenario: Scenario, seed: int) -> DayResult:
+    """Run a scenario in virtual time; the same seed gives the same day."""
 
-    async def main() -> Day:
-        return await World(scenario=scenario, seed=seed).play()
+    async def main() -> DayResult:
+        return await World(scenario=scenario, seed=seed).run_day()
 
     return run_virtually(main())
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,4 +1,4 @@
-"""Start the fleet of a scenario and carry out its faults."""
+"""Start the processes of a scenario and apply its faults."""
 
 import asyncio
 import hashlib
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Workspace:
-    """Name one workspace of a scenario, its key and its load."""
+    """Describe one workspace of a scenario: its budget, its key and its load."""
 
     name: str
     budget: str
@@ -27,7 +27,7 @@
 
 
 def list_workspaces(scenario: Scenario) -> list[Workspace]:
-    """Return every workspace of a scenario."""
+    """Return every workspace of a scenario; a table stands for `count` of them."""
     return [
         Workspace(
             name=f"{table.name}-{number}",
@@ -40,8 +40,8 @@
     ]
 
 
-def write_base(scenario: Scenario, engine_urls: list[str]) -> str:
-    """Return the file with the site, the model and the targets."""
+def render_base_file(scenario: Scenario, engine_urls: list[str]) -> str:
+    """Return a configuration file with the site, the model and the targets."""
     engines = scenario.engines
     lines = [
         f'[sites.main]\ndata_center = "{scenario.data_centers[0]}"',
@@ -59,8 +59,8 @@
     return "\n".join(lines) + "\n"
 
 
-def write_workspaces(workspaces: Sequence[Workspace]) -> str:
-    """Return a file with workspaces and the budgets they draw on."""
+def render_workspaces_file(workspaces: Sequence[Workspace]) -> str:
+    """Return a configuration file with workspaces and their budgets."""
     lines: list[str] = []
     budgets: set[str] = set()
     for item in workspaces:
@@ -80,7 +80,11 @@
 
 @dataclass(kw_only=True, slots=True)
 class BenchFleet:
-    """Own the processes and proxies of one run."""
+    """Start and stop the processes and proxies of one run.
+
+    `prepaid_tokens` is each budget's limit including top-ups; `top_ups` lists the
+    accepted ones as (wall-clock seconds, budget, tokens).
+    """
 
     scenario: Scenario
     settings: dict[str, Setting]
@@ -89,8 +93,8 @@
     engines: list[Running] = field(default_factory=list)
     hosts: dict[str, Running] = field(default_factory=dict)
     log: Running = field(init=False)
-    n_started: int = 0
-    paid: dict[str, int] = field(default_factory=dict)
+    n_hosts_started: int = 0
+    prepaid_tokens: dict[str, int] = field(default_factory=dict)
     top_ups: list[tuple[float, str, int]] = field(default_factory=list)
 
     async def __aenter__(self) -> Self:
@@ -116,17 +120,17 @@
             await self._start_engine(number)
         await asyncio.gather(*(self.start_host() for _ in range(scenario.n_hosts)))
         urls = [engine.url for engine in self.engines]
-        await self._publish_first(BASE_FILE, write_base(scenario, urls))
+        await self._publish_initial_file(BASE_FILE, render_base_file(scenario, urls))
         workspaces = list_workspaces(scenario)
         for start in range(0, len(workspaces), WORKSPACES_PER_FILE):
             part = workspaces[start : start + WORKSPACES_PER_FILE]
             name = f"20-workspaces-{start:05}.toml"
-            await self._publish_first(name, write_workspaces(part))
+            await self._publish_initial_file(name, render_workspaces_file(part))
         for item in workspaces:
-            self.paid[item.budget] = item.load.tokens
+            self.prepaid_tokens[item.budget] = item.load.tokens
         await wait_for(self._is_ready, "the fleet to be ready", READY_TIMEOUT_S)
 
-    async def _publish_first(self, name: str, content: str) -> None:
+    async def _publish_initial_file(self, name: str, content: str) -> None:
         verdict = await self.publish(name, content)
         if not verdict["accepted"]:
             raise LaunchError(f"configuration rejected: {verdict}")
@@ -150,9 +154,9 @@
         self.engines.append(await self.launcher.start_standin(name, "engine", *options))
 
     async def start_host(self) -> Running:
-        """Start a host behind a proxy, with a source address of its own."""
-        number = self.n_started
-        self.n_started += 1
+        """Start a host behind a proxy, with its own source address for cuts."""
+        number = self.n_hosts_started
+        self.n_hosts_started += 1
         name = f"host-{number}"
         address = f"127.0.{2 + number // 250}.{1 + number % 250}"
         proxy = await self._add_proxy(name, 0)
@@ -177,7 +181,7 @@
         return proxy
 
     async def _is_ready(self) -> bool:
-        n_budgets = len(self.paid)
+        n_budgets = len(self.prepaid_tokens)
         answers = await asyncio.gather(
             *(self._is_host_ready(host, n_budgets) for host in self.hosts.values())
         )
@@ -191,24 +195,24 @@
         return len(budgets) >= n_budgets
 
     async def control_log(self, *, down: bool) -> None:
-        """Order the log to be up or down."""
+        """Take the log down or bring it up, and set its rate of appends."""
         body = {"down": down, "appends_per_s": self.scenario.appends_per_s}
         await self.launcher.post_json(f"{self.log.url}/control", body)
 
     async def publish(self, name: str, content: str) -> Any:
-        """Publish a file through any host."""
+        """Publish a configuration file through the oldest running host."""
         host = next(iter(self.hosts.values()))
         return await self.launcher.post_json(
             f"{host.operator_url}/config/publish",
             {
-                "operation": f"bench-{name}-{self.n_started}",
+                "operation": f"bench-{name}-{self.n_hosts_started}",
                 "name": name,
                 "content": content,
             },
         )
 
-    async def carry_out(self, fault: FaultTable, now: float) -> None:
-        """Carry out one fault."""
+    async def apply_fault(self, fault: FaultTable, now: float) -> None:
+        """Apply one fault; `now` is in wall-clock seconds."""
         match fault.kind:
             case FaultKind.KILL_HOST | FaultKind.REPLACE_HOST:
                 await self._kill_oldest_host()
@@ -225,9 +229,9 @@
                 url = f"{self.engines[fault.engine].url}/control"
                 await self.launcher.post_json(url, fault.control)
             case _:
-                await self._change(fault, now)
+                await self._change_configuration(fault, now)
 
-    async def _change(self, fault: FaultTable, now: float) -> None:
+    async def _change_configuration(self, fault: FaultTable, now: float) -> None:
         if fault.kind is FaultKind.TOP_UP:
             await self._top_up(fault, now)
             return
@@ -243,16 +247,18 @@
 
     def _cut_data_center(self, data_center: str) -> None:
         centers = self.scenario.data_centers
-        inside = {
+        cut_hosts = {
             name
             for name in self.hosts
             if centers[int(name.rsplit("-", 1)[1]) % len(centers)] == data_center
         }
         for name, host in self.hosts.items():
-            others = self.hosts.keys() - inside if name in inside else inside
-            for other in others:
-                self.proxies[other].cut(host.address)
-            if name in inside:
+            unreachable_hosts = (
+                self.hosts.keys() - cut_hosts if name in cut_hosts else cut_hosts
+            )
+            for unreachable_host in unreachable_hosts:
+                self.proxies[unreachable_host].cut(host.address)
+            if name in cut_hosts:
                 self.proxies["log"].cut(host.address)
 
     async def _top_up(self, fault: FaultTable, now: float) -> None:
@@ -261,6 +267,6 @@
             url = f"{host.operator_url}/budgets/{fault.budget}/top-up"
             verdict = await self.launcher.post_json(url, body)
             if verdict["accepted"]:
-                self.paid[fault.budget] += fault.amount
+                self.prepaid_tokens[fault.budget] += fault.amount
                 self.top_ups.append((now, fault.budget, fault.amount))
                 return
--- a/bench/main.py
+++ b/bench/main.py
@@ -1,4 +1,4 @@
-"""Run scenarios and compare results, trefoilstage-bench."""
+"""Define the commands of trefoilstage-bench."""
 
 import asyncio
 from dataclasses import dataclass
@@ -7,21 +7,21 @@
 
 import cappa
 
-from bench.emulator.results import describe_day, plot_day
+from bench.emulator.results import format_day, plot_day
 from bench.emulator.scenario import load_scenario as load_emulated
-from bench.emulator.world import play
+from bench.emulator.world import run_day
 from bench.measure import run_variant
 from bench.results import Result, print_results, read_result, write_result
 from bench.scenario import list_scenarios, load_scenario
 from bench.slopes import DEFAULT_SIZES, Axis, measure_axis, print_slopes
 
-CHOSEN = "chosen"
+DEFAULT_VARIANT = "chosen"
 
 
 @cappa.command(name="run")
 @dataclass(kw_only=True)
 class RunCommand:
-    """Run a scenario's variants in turn, repeat by repeat, and compare them."""
+    """Run each variant of a scenario once per repeat and compare the results."""
 
     name: Annotated[str, cappa.Arg(help="the scenario's name")]
     repeats: Annotated[int, cappa.Arg(long=True)] = 1
@@ -30,9 +30,9 @@
     ] = None
 
     def __call__(self) -> None:
-        """Run, write the results and print the table."""
+        """Run the variants, write their results and print the table."""
         scenario = load_scenario(self.name)
-        settings = {CHOSEN: {}, **scenario.variants}
+        settings = {DEFAULT_VARIANT: {}, **scenario.variants}
         names = self.variants.split(",") if self.variants else list(settings)
         results = [
             Result(scenario=self.name, variant=name, repeats=[]) for name in names
@@ -50,7 +50,7 @@
 @cappa.command(name="compare")
 @dataclass(kw_only=True)
 class CompareCommand:
-    """Compare results from their files; ratios are to the first."""
+    """Compare result files; ratios are to the first file."""
 
     files: Annotated[list[Path], cappa.Arg(help="result files")]
 
@@ -62,16 +62,16 @@
 @cappa.command(name="slope")
 @dataclass(kw_only=True)
 class SlopeCommand:
-    """Fit a host's costs against the size of one thing."""
+    """Fit the cost of a host against one quantity, such as the number of hosts."""
 
-    axis: Annotated[Axis, cappa.Arg(help="what to vary")]
+    axis: Annotated[Axis, cappa.Arg(help="the quantity to vary")]
     sizes: Annotated[str | None, cappa.Arg(long=True, help="comma-separated sizes")] = (
         None
     )
     repeats: Annotated[int, cappa.Arg(long=True)] = 1
 
     def __call__(self) -> None:
-        """Measure and print the lines."""
+        """Run the fleet at each size and print the fitted lines."""
         sizes = DEFAULT_SIZES[self.axis]
         if self.sizes:
             sizes = tuple(int(size) for size in self.sizes.split(","))
@@ -81,21 +81,21 @@
 @cappa.command(name="emulate")
 @dataclass(kw_only=True)
 class EmulateCommand:
-    """Play a scenario of the emulator in virtual time, once a seed."""
+    """Run a scenario of the emulator in virtual time, once for each seed."""
 
     name: Annotated[str, cappa.Arg(help="the scenario's name")]
-    seed: Annotated[int, cappa.Arg(long=True, help="of the first day")] = 1
-    days: Annotated[int, cappa.Arg(long=True, help="how many seeds to play")] = 1
+    seed: Annotated[int, cappa.Arg(long=True, help="the seed of the first day")] = 1
+    days: Annotated[int, cappa.Arg(long=True, help="the number of seeds to run")] = 1
     plot: Annotated[
-        Path | None, cappa.Arg(long=True, help="file of a plot of the last day")
+        Path | None, cappa.Arg(long=True, help="a file to plot the last day to")
     ] = None
 
     def __call__(self) -> None:
-        """Play the days and print their tables."""
+        """Run the days and print their tables."""
         scenario = load_emulated(self.name)
         for seed in range(self.seed, self.seed + self.days):
-            day = play(scenario, seed)
-            print(f"seed {seed}\n{describe_day(day)}\n")
+            day = run_day(scenario, seed)
+            print(f"seed {seed}\n{format_day(day)}\n")
             if self.plot is not None:
                 plot_day(day, self.plot)
 
@@ -103,7 +103,7 @@
 @cappa.command(name="list")
 @dataclass(kw_only=True)
 class ListCommand:
-    """List the scenarios."""
+    """List the scenarios that run real processes."""
 
     def __call__(self) -> None:
         """Print each name with its description."""
@@ -114,7 +114,7 @@
 @cappa.command(name="trefoilstage-bench")
 @dataclass(kw_only=True)
 class Bench:
-    """Measure fleets on loopback, side by side."""
+    """Measure fleets on the loopback interface and compare variants."""
 
     command: cappa.Subcommands[
         RunCommand | CompareCommand | SlopeCommand | EmulateCommand | ListCommand
@@ -122,7 +122,7 @@
 
 
 def main() -> None:
-    """Run a command."""
+    """Run the command that the arguments name."""
     cappa.invoke(Bench)
 
 
--- a/bench/results.py
+++ b/bench/results.py
@@ -1,16 +1,16 @@
-"""Keep results as JSON and print them side by side."""
+"""Store results as JSON and print them side by side."""
 
 import json
 import statistics
 from dataclasses import asdict, dataclass
 from pathlib import Path
 
-RESULTS = Path("results")
+RESULTS_FOLDER = Path("results")
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Result:
-    """Hold the measures of every repeat of one variant."""
+    """Describe the measures of each repeat of one variant."""
 
     scenario: str
     variant: str
@@ -23,14 +23,14 @@
 
 def write_result(result: Result) -> Path:
     """Write a result to its file and return the path."""
-    RESULTS.mkdir(exist_ok=True)
-    path = RESULTS / f"{result.scenario}--{result.variant}.json"
+    RESULTS_FOLDER.mkdir(exist_ok=True)
+    path = RESULTS_FOLDER / f"{result.scenario}--{result.variant}.json"
     path.write_text(json.dumps(asdict(result), indent=2) + "\n")
     return path
 
 
 def read_result(path: Path) -> Result:
-    """Return the result in a file."""
+    """Return the result that a file holds."""
     return Result(**json.loads(path.read_text()))
 
 
@@ -61,7 +61,7 @@
 
 
 def format_number(value: float) -> str:
-    """Return a number with few digits."""
+    """Return an integer in full and any other number with four digits."""
     if value == int(value) and abs(value) < 1e9:
         return str(int(value))
     return f"{value:.4g}"
--- a/bench/scenario.py
+++ b/bench/scenario.py
@@ -1,4 +1,4 @@
-"""Read a scenario from its TOML file and check it."""
+"""Read a scenario from its TOML file and validate it."""
 
 import tomllib
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field
 
-SCENARIOS = Path(__file__).parent / "scenarios"
+SCENARIOS_FOLDER = Path(__file__).parent / "scenarios"
 Share = Annotated[float, Field(ge=0, le=1)]
 Seconds = Annotated[float, Field(ge=0, le=600)]
 Count = Annotated[int, Field(ge=0, le=1 << 40)]
@@ -15,7 +15,7 @@
 
 
 class FaultKind(StrEnum):
-    """Name what a scenario can do to a fleet while it runs."""
+    """Name the faults and changes that a scenario can apply to a running fleet."""
 
     KILL_HOST = "kill_host"
     REPLACE_HOST = "replace_host"
@@ -30,7 +30,7 @@
 
 
 class Table(BaseModel):
-    """Refuse keys that no table knows."""
+    """Reject unknown keys; the base of all tables of a scenario file."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -54,7 +54,7 @@
 
 
 class WorkspaceTable(Table):
-    """Describe the workspaces of one kind and the load they bring."""
+    """Describe a group of similar workspaces and the load of each."""
 
     name: str
     count: Annotated[int, Field(ge=1, le=20_000)] = 1
@@ -76,7 +76,7 @@
 
 
 class FaultTable(Table):
-    """Describe one fault at its time."""
+    """Describe one fault and when it is applied."""
 
     at_s: Seconds
     kind: FaultKind
@@ -89,7 +89,7 @@
 
 
 class Scenario(Table):
-    """Describe a whole experiment."""
+    """Describe the fleet, the load and the faults of one experiment."""
 
     name: str = ""
     description: str
@@ -107,12 +107,12 @@
 
 
 def load_scenario(name: str) -> Scenario:
-    """Return a scenario by its name."""
-    path = SCENARIOS / f"{name}.toml"
+    """Return the scenario of a name."""
+    path = SCENARIOS_FOLDER / f"{name}.toml"
     tables = tomllib.loads(path.read_text())
     return Scenario.model_validate({"name": name, **tables})
 
 
 def list_scenarios() -> list[str]:
     """Return the names of all scenarios."""
-    return sorted(path.stem for path in SCENARIOS.glob("*.toml"))
+    return sorted(path.stem for path in SCENARIOS_FOLDER.glob("*.toml"))
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,4 +1,4 @@
-"""Fit what a host costs against the size of one thing at a time."""
+"""Fit the cost of a host against one quantity at a time, by linear regression."""
 
 import asyncio
 import statistics
@@ -28,7 +28,7 @@
 
 
 class Axis(StrEnum):
-    """Name what a slope is taken against."""
+    """Name the quantity that varies while a cost is measured."""
 
     HOSTS = "hosts"
     WORKSPACES = "workspaces"
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Slope:
-    """Hold a fitted line and how well it fits."""
+    """Describe the line fitted to one measure and its correlation."""
 
     measure: str
     slope: float
@@ -49,10 +49,10 @@
     points: tuple[tuple[float, float], ...]
 
 
-def make_base(
+def make_base_scenario(
     *, n_hosts: int = 4, workspaces: tuple[WorkspaceTable, ...] = ()
 ) -> Scenario:
-    """Return an idle scenario."""
+    """Return a scenario that is idle unless workspaces with load are given."""
     idle = WorkspaceTable(name="idle", count=10, tokens=10**7, requests_per_s=0)
     return Scenario(
         description="slope",
@@ -63,35 +63,35 @@
     )
 
 
-def make_hosts(size: int) -> Scenario:
-    """Return an idle fleet of a number of hosts."""
-    return make_base(n_hosts=size)
+def make_hosts_scenario(size: int) -> Scenario:
+    """Return an idle scenario with `size` hosts."""
+    return make_base_scenario(n_hosts=size)
 
 
-def make_workspaces(size: int) -> Scenario:
-    """Return an idle fleet with a number of workspaces and budgets."""
+def make_workspaces_scenario(size: int) -> Scenario:
+    """Return an idle scenario with `size` workspaces, each with a budget."""
     table = WorkspaceTable(name="idle", count=size, tokens=10**7, requests_per_s=0)
-    return make_base(workspaces=(table,))
+    return make_base_scenario(workspaces=(table,))
 
 
-def make_active_budgets(size: int) -> Scenario:
-    """Return a fleet on which a number of budgets share 40 requests a second."""
+def make_active_budgets_scenario(size: int) -> Scenario:
+    """Return a scenario in which `size` budgets share 40 requests per second."""
     table = WorkspaceTable(
         name="busy", count=size, tokens=10**7, requests_per_s=40.0 / size
     )
-    return make_base(workspaces=(table,))
+    return make_base_scenario(workspaces=(table,))
 
 
-def make_requests(size: int) -> Scenario:
-    """Return a fleet under a number of requests a second."""
+def make_requests_scenario(size: int) -> Scenario:
+    """Return a scenario with `size` requests per second."""
     table = WorkspaceTable(
         name="busy", count=4, tokens=10**9, requests_per_s=size / 4.0
     )
-    return make_base(workspaces=(table,))
+    return make_base_scenario(workspaces=(table,))
 
 
-def make_tokens(size: int) -> Scenario:
-    """Return a fleet under 20 requests a second with answers of a length."""
+def make_tokens_scenario(size: int) -> Scenario:
+    """Return a scenario with 20 requests per second and answers of `size` tokens."""
     table = WorkspaceTable(
         name="busy",
         count=4,
@@ -99,12 +99,12 @@
         requests_per_s=5.0,
         output_tokens=Range(low=size, high=size),
     )
-    return make_base(workspaces=(table,))
+    return make_base_scenario(workspaces=(table,))
 
 
-def make_changes(size: int) -> Scenario:
-    """Return an idle fleet with a number of changes of configuration a run."""
-    base = make_base()
+def make_changes_scenario(size: int) -> Scenario:
+    """Return an idle scenario with `size` configuration changes during the run."""
+    base = make_base_scenario()
     faults = tuple(
         FaultTable(
             at_s=0.5 + number * 7.0 / size,
@@ -116,13 +116,13 @@
     return base.model_copy(update={"faults": faults})
 
 
-MAKERS: dict[Axis, Callable[[int], Scenario]] = {
-    Axis.HOSTS: make_hosts,
-    Axis.WORKSPACES: make_workspaces,
-    Axis.ACTIVE_BUDGETS: make_active_budgets,
-    Axis.REQUESTS: make_requests,
-    Axis.TOKENS: make_tokens,
-    Axis.CHANGES: make_changes,
+SCENARIO_MAKERS: dict[Axis, Callable[[int], Scenario]] = {
+    Axis.HOSTS: make_hosts_scenario,
+    Axis.WORKSPACES: make_workspaces_scenario,
+    Axis.ACTIVE_BUDGETS: make_active_budgets_scenario,
+    Axis.REQUESTS: make_requests_scenario,
+    Axis.TOKENS: make_tokens_scenario,
+    Axis.CHANGES: make_changes_scenario,
 }
 DEFAULT_SIZES = {
     Axis.HOSTS: (2, 4, 8, 16, 32, 40),
@@ -135,35 +135,35 @@
 
 
 def measure_axis(axis: Axis, sizes: tuple[int, ...], repeats: int) -> list[Slope]:
-    """Run the fleet at each size and fit each measure."""
+    """Run the fleet at each size and fit a line to each measure."""
     points: dict[str, list[tuple[float, float]]] = {name: [] for name in MEASURES}
     for _ in range(repeats):
         for size in sizes:
-            measures = asyncio.run(run_variant(MAKERS[axis](size), {}))
+            measures = asyncio.run(run_variant(SCENARIO_MAKERS[axis](size), {}))
             for name in MEASURES:
                 if name in measures:
                     points[name].append((float(size), measures[name]))
-    return [fit(name, found) for name, found in points.items() if len(found) > 1]
+    return [fit_line(name, found) for name, found in points.items() if len(found) > 1]
 
 
-def fit(measure: str, points: list[tuple[float, float]]) -> Slope:
-    """Return the least-squares line through points."""
+def fit_line(measure: str, points: list[tuple[float, float]]) -> Slope:
+    """Return the least-squares line through (size, value) points."""
     sizes = [size for size, _ in points]
     values = [value for _, value in points]
-    line = statistics.linear_regression(sizes, values)
+    regression = statistics.linear_regression(sizes, values)
     constant = len(set(values)) == 1
     correlation = 1.0 if constant else statistics.correlation(sizes, values)
     return Slope(
         measure=measure,
-        slope=line.slope,
-        intercept=line.intercept,
+        slope=regression.slope,
+        intercept=regression.intercept,
         correlation=correlation,
         points=tuple(points),
     )
 
 
 def print_slopes(axis: Axis, slopes: list[Slope]) -> None:
-    """Print each line with its fit and its points."""
+    """Print each line with its correlation and its points."""
     for item in slopes:
         points = " ".join(f"{size:g}:{value:.4g}" for size, value in item.points)
         print(
--- a/bench/trials/__init__.py
+++ b/bench/trials/__init__.py
@@ -1,1 +1,1 @@
-"""Hold small bounded measurements beside the scenarios."""
+"""Measure single design choices with small, bounded programs."""
--- a/bench/trials/power_divider.py
+++ b/bench/trials/power_divider.py
@@ -1,7 +1,7 @@
-"""Compare hosts that share a site's watts with one host that has them all.
+"""Compare hosts that share a site's watts with a single host that uses all of them.
 
-Run with `python -m bench.trials.power_divider`. The load is above what the
-ceiling allows, so that the tokens served show how much of the watts was used.
+Run with `python -m bench.trials.power_divider`. The load exceeds what the
+ceiling allows, so the tokens served show which share of the watts was used.
 """
 
 import asyncio
@@ -13,8 +13,8 @@
 N_ENGINES = 6
 N_SLOTS = 48
 IDLE_WATTS = 100
-WATTS = 30
-CEILING = N_ENGINES * IDLE_WATTS + N_SLOTS * WATTS
+WATTS_PER_REQUEST = 30
+CEILING_WATTS = N_ENGINES * IDLE_WATTS + N_SLOTS * WATTS_PER_REQUEST
 REQUESTS_PER_S = 100
 WARM_UP_S = 3.0
 MEASURED_S = 10.0
@@ -25,60 +25,62 @@
     "--idle-watts",
     str(IDLE_WATTS),
     "--watts-per-request",
-    str(WATTS),
+    str(WATTS_PER_REQUEST),
 )
 
 
-def make_ceiling() -> str:
-    """Return a configuration file with room for the slots."""
-    lines = [f"[sites.brest]\nceiling_watts = {CEILING}"]
+def render_power_limits() -> str:
+    """Return a configuration file whose ceiling allows N_SLOTS requests."""
+    lines = [f"[sites.brest]\nceiling_watts = {CEILING_WATTS}"]
     lines += [
-        f"[targets.engine-{number}]\nwatts_per_request = {WATTS}"
+        f"[targets.engine-{number}]\nwatts_per_request = {WATTS_PER_REQUEST}"
         for number in range(N_ENGINES)
     ]
     return "\n".join(lines) + "\n"
 
 
 async def measure(n_hosts: int) -> None:
-    """Print the tokens served and the share of the slots in use."""
+    """Print the tokens served and the mean share of the slots in use."""
     async with Fleet(
         n_hosts=n_hosts,
         n_engines=N_ENGINES,
         engine_options=ENGINE_OPTIONS,
         tokens=50_000_000,
     ) as fleet:
-        await fleet.publish("20-power.toml", make_ceiling())
+        await fleet.publish("20-power.toml", render_power_limits())
         tasks: list[asyncio.Task[CallerAnswer]] = []
         started = time.monotonic()
-        marks: list[int] = []
+        n_tokens_before: list[int] = []
         while time.monotonic() < started + WARM_UP_S + MEASURED_S:
             host = fleet.hosts[len(tasks) % n_hosts]
             tasks.append(asyncio.create_task(fleet.chat(host, max_tokens=MAX_TOKENS)))
-            if not marks and time.monotonic() >= started + WARM_UP_S:
-                marks.append(await fleet.count_executed())
+            if not n_tokens_before and time.monotonic() >= started + WARM_UP_S:
+                n_tokens_before.append(await fleet.count_executed())
             await asyncio.sleep(1 / REQUESTS_PER_S)
-        tokens = await fleet.count_executed() - marks[0]
+        tokens = await fleet.count_executed() - n_tokens_before[0]
         ended = time.monotonic()
         answers = await asyncio.gather(*tasks)
         power = await fleet.list_power()
-        used = measure_share(power, started + WARM_UP_S, ended)
+        used_share = compute_used_share(power, started + WARM_UP_S, ended)
         refused = sum(answer.status != 200 for answer in answers)
-        highest = max(watts for _, watts in power)
+        highest_watts = max(watts for _, watts in power)
         print(
             f"hosts={n_hosts} tokens_per_s={tokens / MEASURED_S:.0f} "
-            f"slots_used={used:.3f} refused={refused}/{len(answers)} "
-            f"highest_watts={highest} ceiling={CEILING}"
+            f"slots_used={used_share:.3f} refused={refused}/{len(answers)} "
+            f"highest_watts={highest_watts} ceiling={CEILING_WATTS}"
         )
 
 
-def measure_share(power: list[tuple[float, int]], begin: float, end: float) -> float:
-    """Return the mean share of the slots in use over a time."""
-    area = 0.0
+def compute_used_share(
+    power: list[tuple[float, int]], begin: float, end: float
+) -> float:
+    """Return the mean share of the slots in use between two times."""
+    watt_seconds = 0.0
     for (at, watts), (until, _) in zip(power, power[1:], strict=False):
-        span = min(until, end) - max(at, begin)
-        if span > 0:
-            area += span * (watts - N_ENGINES * IDLE_WATTS)
-    return area / (end - begin) / (N_SLOTS * WATTS)
+        duration_s = min(until, end) - max(at, begin)
+        if duration_s > 0:
+            watt_seconds += duration_s * (watts - N_ENGINES * IDLE_WATTS)
+    return watt_seconds / (end - begin) / (N_SLOTS * WATTS_PER_REQUEST)
 
 
 async def main() -> None:
--- a/tests/emulator/test_engine.py
+++ b/tests/emulator/test_engine.py
@@ -16,7 +16,9 @@
     """Return a request with a prompt of some parts and one of its own."""
     prompt = [PromptPart(name=part, n_tokens=n_tokens) for part, n_tokens in parts]
     prompt.append(PromptPart(name=name, n_tokens=100))
-    return Generation(request=name, prompt=prompt, n_output=n_output, urgency=urgency)
+    return Generation(
+        request_id=name, prompt=prompt, n_output_tokens=n_output, urgency=urgency
+    )
 
 
 async def wait_for_first(generation: Generation) -> float:
@@ -45,7 +47,7 @@
 
         async def use(engine: EmulatedEngine) -> float:
             generation = make_generation("r-1", ("dossier", 13_000))
-            engine.admit(generation)
+            engine.enqueue(generation)
             return await wait_for_first(generation)
 
         self.assertTrue(0.2 < self.run_with(use) < 0.32)
@@ -55,11 +57,11 @@
 
         async def use(engine: EmulatedEngine) -> tuple[float, int]:
             first = make_generation("r-1", ("dossier", 13_000))
-            engine.admit(first)
+            engine.enqueue(first)
             began = await wait_for_first(first)
             second = make_generation("r-2", ("dossier", 13_000))
-            engine.admit(second)
-            return await wait_for_first(second) - began, engine.totals.read_again
+            engine.enqueue(second)
+            return await wait_for_first(second) - began, engine.totals.n_prefilled_again
 
         seconds, n_again = self.run_with(use)
         self.assertLess(seconds, 0.03)
@@ -71,11 +73,11 @@
         async def use(engine: EmulatedEngine) -> int:
             first = make_generation("r-1", ("dossier", 13_000))
             second = make_generation("r-2", ("dossier", 13_000))
-            engine.admit(first)
-            engine.admit(second)
+            engine.enqueue(first)
+            engine.enqueue(second)
             await wait_for_first(first)
             await wait_for_first(second)
-            return engine.totals.read
+            return engine.totals.n_prefilled
 
         self.assertLess(self.run_with(use), 14_000)
 
@@ -83,9 +85,9 @@
         """Send a short prompt right after one of 40,000 tokens."""
 
         async def use(engine: EmulatedEngine) -> float:
-            engine.admit(make_generation("r-1", ("dossier", 40_000)))
+            engine.enqueue(make_generation("r-1", ("dossier", 40_000)))
             short = make_generation("r-2")
-            engine.admit(short)
+            engine.enqueue(short)
             return await wait_for_first(short)
 
         self.assertGreater(self.run_with(use), 0.6)
@@ -96,10 +98,10 @@
         async def use(engine: EmulatedEngine) -> int:
             for number, part in enumerate(("a", "b", "c", "a")):
                 generation = make_generation(f"r-{number}", (part, 10_000))
-                engine.admit(generation)
+                engine.enqueue(generation)
                 while (await generation.events.get()) != 5:
                     pass
-            return engine.totals.read_again
+            return engine.totals.n_prefilled_again
 
         self.assertEqual(self.run_with(use, kv_tokens=25_000), 10_000)
 
@@ -108,7 +110,7 @@
 
         async def use(engine: EmulatedEngine) -> tuple[float, int]:
             generation = make_generation("r-1", ("dossier", 13_000))
-            engine.admit(generation)
+            engine.enqueue(generation)
             await asyncio.sleep(0.1)
             engine.crash()
             lost = await wait_for_first(generation)
