--- a/tests/emulator/__init__.py
+++ b/tests/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Test the emulator, and policies on the loads that it plays."""
+"""Test the emulator, and policies of the product on emulated days."""
