--- a/tests/fuzz/configuration_host.py
+++ b/tests/fuzz/configuration_host.py
@@ -1,4 +1,4 @@
-"""Follow a simulated log with the product's own folds."""
+"""Simulate a host that reads a log with the product's own folds."""
 
 import asyncio
 
@@ -13,8 +13,8 @@
 from trefoilstage.ledger.records import Checkpoint
 
 
-class SimHost:
-    """Follow the simulated log as a host does, with the product's own folds."""
+class SimulatedHost:
+    """Simulate one incarnation of a host that folds configuration and limits."""
 
     def __init__(self, *, incarnation: str) -> None:
         self.incarnation = incarnation
@@ -25,12 +25,12 @@
         self.ledger = LedgerFold(blackboard=self.blackboard, number=0)
 
     def encode(self, record: object) -> bytes:
-        """Return the record's bytes with this host's next sequence."""
+        """Return the record's bytes with this host's next sequence number."""
         self.sequence += 1
         return self.config.encode(self.incarnation, self.sequence, record)
 
     def read(self, log: dict[int, bytes], earliest: int, n_records: int) -> None:
-        """Fold some records, from a checkpoint where the first ones are gone."""
+        """Fold up to `n_records`, after a checkpoint if the next one has expired."""
         if self.config.next_offset < earliest and not self.restore(log):
             return
         for _ in range(n_records):
@@ -43,7 +43,7 @@
                 self.config.skip(offset)
 
     def restore(self, log: dict[int, bytes]) -> bool:
-        """Take the first whole checkpoint that leads on from kept records."""
+        """Restore the first complete checkpoint that retained records continue."""
         assembly = CheckpointAssembly()
         for offset in sorted(log):
             try:
@@ -58,6 +58,6 @@
         return False
 
 
-def pack(host: SimHost) -> PackedState:
-    """Return the checkpoint form of a host's configuration."""
+def pack_configuration(host: SimulatedHost) -> PackedState:
+    """Return a host's configuration state, packed for a checkpoint."""
     return asyncio.run(compress_state(host.config.dump()))
--- a/tests/fuzz/configuration_oracle.py
+++ b/tests/fuzz/configuration_oracle.py
@@ -1,4 +1,4 @@
-"""Judge changes of the configuration by the plain rules."""
+"""Compute the expected configuration with a simple model."""
 
 from dataclasses import dataclass, field
 
@@ -8,7 +8,7 @@
 
 @dataclass(kw_only=True)
 class Oracle:
-    """Judge changes in log order by the plain rules, with nothing remembered."""
+    """Model the configuration after each record of the log."""
 
     contents: dict[str, str] = field(default_factory=dict)
     revisions: dict[str, int] = field(default_factory=dict)
@@ -17,18 +17,18 @@
     streams: int = 1
     hosts: dict[str, str] = field(default_factory=dict)
 
-    def judge(self, offset: int, writer: str, record: object) -> None:
-        """Take the first landing of a record; repeats are never judged."""
+    def apply_record(self, offset: int, writer: str, record: object) -> None:
+        """Apply a record at its first append; repeated appends are not passed in."""
         if isinstance(record, Publish | Remove):
-            self.change(offset, record)
+            self._apply_change(offset, record)
         if isinstance(record, HostUp):
             self.hosts[record.host] = writer
         if isinstance(record, HostDown):
             present = self.hosts.items()
             self.hosts = {k: v for k, v in present if v != record.incarnation}
 
-    def change(self, offset: int, record: Publish | Remove) -> None:
-        """Take a change if its base is current and all files together are valid."""
+    def _apply_change(self, offset: int, record: Publish | Remove) -> None:
+        """Apply a change if its base is current and all files together are valid."""
         if record.operation in self.operations:
             return
         self.operations.add(record.operation)
@@ -53,7 +53,7 @@
             self.revisions[record.name] = offset
 
     def copy(self) -> "Oracle":
-        """Return the same verdicts to go on from."""
+        """Return a copy to apply further records to."""
         return Oracle(
             contents=dict(self.contents),
             revisions=dict(self.revisions),
--- a/tests/fuzz/ledger_actors.py
+++ b/tests/fuzz/ledger_actors.py
@@ -1,4 +1,4 @@
-"""Hold the engine, the hosts and what passes between them, for the ledger's fuzz."""
+"""Simulate the engine, the hosts and their messages for the ledger's fuzz test."""
 
 from dataclasses import dataclass, field
 
@@ -22,8 +22,8 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class Run:
-    """Hold what the engine executed for one request."""
+class EngineRun:
+    """Describe what the engine executed for one request."""
 
     key: str
     limit: int
@@ -31,80 +31,80 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class Engine:
-    """Execute requests and refuse those cancelled before; the oracle's meter."""
+class SimulatedEngine:
+    """Execute requests that were not cancelled, and meter them for the oracle."""
 
-    runs: dict[str, Run] = field(default_factory=dict)
+    runs: dict[str, EngineRun] = field(default_factory=dict)
     cancelled: set[str] = field(default_factory=set)
 
     def cancel(self, request: str) -> int:
-        """End a request for good and return what it executed."""
+        """End a request permanently and return the tokens that it executed."""
         self.cancelled.add(request)
         run = self.runs.get(request)
         return run.tokens if run else 0
 
-    def count_dearest(self) -> dict[str, int]:
-        """Return the dearest run of each key."""
-        dearest: dict[str, int] = {}
+    def compute_max_tokens_by_key(self) -> dict[str, int]:
+        """Return the tokens of the largest run of each idempotency key."""
+        max_tokens: dict[str, int] = {}
         for run in self.runs.values():
-            dearest[run.key] = max(dearest.get(run.key, 0), run.tokens)
-        return dearest
+            max_tokens[run.key] = max(max_tokens.get(run.key, 0), run.tokens)
+        return max_tokens
 
 
 @dataclass(kw_only=True, slots=True, eq=False)
 class Request:
-    """Follow one request from its hold to its end."""
+    """Describe one request at a host, from its hold to its end."""
 
     name: str
     key: str
     tokens: int
     draw: DrawPool
     number: int
-    sent: bool = False
+    was_sent: bool = False
 
 
 @dataclass(kw_only=True, slots=True, eq=False)
-class Call:
-    """Follow one message from a holder to its witness."""
+class WitnessCall:
+    """Describe one message in which a holder asks its witness to confirm a bound."""
 
-    holder: "SimHost"
+    holder: "SimulatedHost"
     draw: DrawPool
     bound: Bound
     reply: BoundReply | None = None
 
 
 @dataclass(kw_only=True, slots=True, eq=False)
-class SimHost:
-    """Hold one incarnation's folded state, draws, witness table and outbox."""
+class SimulatedHost:
+    """Simulate one incarnation: its folded state, draws, witness table and outbox."""
 
     name: str
     state: LedgerState = field(default_factory=LedgerState)
     pool: AccountPool = field(init=False)
     table: WitnessTable = field(init=False)
-    dead: bool = False
-    frozen: bool = False
+    is_dead: bool = False
+    is_frozen: bool = False
     sequence: int = 0
     outbox: list[LedgerEnvelope] = field(default_factory=list)
     pending: dict[int, LedgerRecord] = field(default_factory=dict)
     requests: list[Request] = field(default_factory=list)
-    calls: dict[str, Call] = field(default_factory=dict)
+    calls: dict[str, WitnessCall] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.pool = AccountPool(account=ACCOUNT, number=STREAM, prefix=self.name)
         self.table = WitnessTable(incarnation=self.name)
 
     @property
-    def runs(self) -> bool:
-        """Tell whether the process does anything now."""
-        return not self.dead and not self.frozen
+    def is_running(self) -> bool:
+        """Return whether the process is alive and not suspended."""
+        return not self.is_dead and not self.is_frozen
 
     @property
     def account(self) -> AccountState:
-        """Return the account as this host has folded it."""
+        """Return the account as this host has folded it so far."""
         return self.state.accounts.get(ACCOUNT) or AccountState()
 
     def submit(self, record: LedgerRecord) -> None:
-        """Queue a record for the log."""
+        """Queue a record to append to the log."""
         envelope = LedgerEnvelope(
             incarnation=self.name, sequence=self.sequence, record=record
         )
@@ -113,7 +113,7 @@
         self.outbox.append(envelope)
 
     def resolve(self, sequence: int, amount: int) -> None:
-        """Take the verdict on an own record."""
+        """Apply the verdict on a record of this host; `amount` is 0 if rejected."""
         record = self.pending.pop(sequence, None)
         if isinstance(record, Draw):
             self.pool.apply_draw_verdict(record.draw, amount, self.state.draws)
--- a/tests/fuzz/ledger_world.py
+++ b/tests/fuzz/ledger_world.py
@@ -1,4 +1,4 @@
-"""Simulate hosts, their witnesses, one log and one engine around the pure parts."""
+"""Simulate hosts, their witnesses, one log and one engine with the product's rules."""
 
 from tests.common import pack_state
 from tests.fuzz.ledger_actors import (
@@ -6,11 +6,11 @@
     ENGINE,
     OPERATOR,
     STREAM,
-    Call,
-    Engine,
+    EngineRun,
     Request,
-    Run,
-    SimHost,
+    SimulatedEngine,
+    SimulatedHost,
+    WitnessCall,
 )
 from trefoilstage.components.budget.draw_pool import NO_WITNESS
 from trefoilstage.components.budget.policy import (
@@ -36,17 +36,17 @@
 
 
 class World:
-    """Hold everything and let a machine take one step at a time."""
+    """Run a simulated fleet one step at a time."""
 
     def __init__(self, *, n_hosts: int, tokens: int) -> None:
         self.log: list[LedgerEnvelope] = []
         self.fingerprints: list[str] = []
         self.oracle = LedgerState()
         self.peak_paid = 0
-        self.engine = Engine()
-        self.wire: list[tuple[Request, int]] = []
-        self.calls: list[Call] = []
-        self.hosts: list[SimHost] = []
+        self.engine = SimulatedEngine()
+        self.requests_in_flight: list[tuple[Request, int]] = []
+        self.calls_in_flight: list[WitnessCall] = []
+        self.hosts: list[SimulatedHost] = []
         self.n_requests = 0
         self.n_operations = 0
         self.n_limits = 0
@@ -58,8 +58,8 @@
             self.add_host()
 
     def add_host(self) -> None:
-        """Start a host that has read nothing yet."""
-        self.hosts.append(SimHost(name=f"host-{len(self.hosts)}"))
+        """Add a host that has read nothing yet."""
+        self.hosts.append(SimulatedHost(name=f"host-{len(self.hosts)}"))
 
     def append(self, envelope: LedgerEnvelope) -> None:
         """Append a record and fold it for the oracle."""
@@ -76,7 +76,7 @@
         self.n_limits += 1
 
     def top_up(self, tokens: int, *, again: bool) -> None:
-        """Raise the account, or repeat the operation before."""
+        """Top up the account, or repeat the previous operation."""
         if not again or self.n_operations == 0:
             self.n_operations += 1
         operation = f"top-up-{self.n_operations}"
@@ -90,14 +90,14 @@
             LedgerEnvelope(incarnation=OPERATOR, sequence=sequence, record=record)
         )
 
-    def flush(self, host: SimHost, n_records: int, *, lost: bool) -> None:
-        """Append a host's oldest records; a lost answer leaves them queued."""
+    def flush(self, host: SimulatedHost, n_records: int, *, lost: bool) -> None:
+        """Append a host's oldest records; a lost reply leaves them queued."""
         for envelope in host.outbox[:n_records]:
             self.append(envelope)
         if not lost:
             del host.outbox[:n_records]
 
-    def read(self, host: SimHost, n_records: int) -> None:
+    def read(self, host: SimulatedHost, n_records: int) -> None:
         """Fold the next records of the log on a host."""
         start = host.state.next_offset
         for offset in range(start, min(len(self.log), start + n_records)):
@@ -109,8 +109,8 @@
                 host.resolve(envelope.sequence, amount)
         host.table.forget_closed(host.state.draws)
 
-    def restore(self, host: SimHost, source: SimHost) -> None:
-        """Replace a host's state by a checkpoint of another's newer one."""
+    def restore(self, host: SimulatedHost, source: SimulatedHost) -> None:
+        """Replace a host's state by a checkpoint of another host, if that is newer."""
         if source.state.next_offset <= host.state.next_offset:
             return
         packed = pack_state(LEDGER_STATE_ADAPTER, source.state)
@@ -119,27 +119,29 @@
         for sequence in [number for number in host.pending if number <= last]:
             host.resolve(sequence, 0)
 
-    def exchange(self, lagging: SimHost | None = None) -> None:
-        """Let every running host but a lagging one append and read everything."""
-        running = [host for host in self.hosts if host.runs and host is not lagging]
+    def exchange(self, lagging: SimulatedHost | None = None) -> None:
+        """Let every running host except `lagging` append and read everything."""
+        running = [
+            host for host in self.hosts if host.is_running and host is not lagging
+        ]
         for host in running:
             self.flush(host, len(host.outbox), lost=False)
         for host in running:
             self.read(host, len(self.log))
 
-    def draw(self, host: SimHost, tokens: int, rate: float, witness: str) -> None:
-        """Ask for more as the controller does, one draw at a time."""
+    def draw(self, host: SimulatedHost, tokens: int, rate: float, witness: str) -> None:
+        """Request a draw as the controller does, one at a time."""
         if any(isinstance(record, Draw) for record in host.pending.values()):
             return
         usable = max(0, host.pool.count_usable(host.state.draws))
         minimum = max(1, tokens - usable)
-        snapshot = self.describe(host, rate)
+        snapshot = self.make_snapshot(host, rate)
         amount = self.policy.compute_draw(snapshot, minimum)
         host.submit(
             host.pool.make_draw(amount=amount, minimum=minimum, witness=witness)
         )
 
-    def describe(self, host: SimHost, rate: float) -> AccountSnapshot:
+    def make_snapshot(self, host: SimulatedHost, rate: float) -> AccountSnapshot:
         """Return the account as the policy sees it."""
         return AccountSnapshot(
             paid=host.account.paid,
@@ -153,8 +155,10 @@
             preference=Preference.AVOID_REFUSALS,
         )
 
-    def reserve(self, host: SimHost, key: str, tokens: int, *, fenced: bool) -> None:
-        """Hold tokens for a request if a draw has them."""
+    def reserve(
+        self, host: SimulatedHost, key: str, tokens: int, *, fenced: bool
+    ) -> None:
+        """Hold tokens for a request if the draws have enough."""
         if host.pool.count_usable(host.state.draws) < tokens:
             return
         draw = host.pool.get_or_open_draw(NO_WITNESS)
@@ -167,29 +171,29 @@
             Request(name=name, key=key, tokens=tokens, draw=draw, number=hold.number)
         )
 
-    def call_witness(self, host: SimHost) -> None:
-        """Send what the witness of the current draw has not been told."""
+    def call_witness(self, host: SimulatedHost) -> None:
+        """Send the witness of the current draw the bound that it has not confirmed."""
         draw = host.pool.current
         if draw is None or draw.draw in host.calls or draw.witness == NO_WITNESS:
             return
         bound = draw.propose_bound(STREAM)
         if bound is not None:
-            call = Call(holder=host, draw=draw, bound=bound)
+            call = WitnessCall(holder=host, draw=draw, bound=bound)
             host.calls[draw.draw] = call
-            self.calls.append(call)
+            self.calls_in_flight.append(call)
 
-    def answer_call(self, call: Call, *, repeat: bool) -> None:
-        """Let the witness take a message; a repeated one stays under way."""
+    def deliver_call(self, call: WitnessCall, *, repeat: bool) -> None:
+        """Deliver a message to the witness; with `repeat` it also stays in flight."""
         if not repeat:
-            self.calls.remove(call)
+            self.calls_in_flight.remove(call)
         witness = next(host for host in self.hosts if host.name == call.draw.witness)
-        if not witness.runs:
+        if not witness.is_running:
             return
         state = witness.state.draws.get(call.draw.draw)
         call.reply = witness.table.answer(call.bound, state)
 
-    def take_reply(self, host: SimHost, name: str, *, lost: bool) -> None:
-        """Take the reply to a call, or give up on it."""
+    def receive_reply(self, host: SimulatedHost, name: str, *, lost: bool) -> None:
+        """Receive the reply to a call, or treat it as lost."""
         call = host.calls[name]
         reply = None if lost else call.reply
         if reply is None and not lost:
@@ -200,22 +204,22 @@
         elif (reply is None or reply.known) and host.pool.current is call.draw:
             host.pool.retire_current()
 
-    def send(self, host: SimHost, request: Request) -> None:
-        """Send a request whose hold is confirmed, or give it up."""
-        if request.sent:
+    def send(self, host: SimulatedHost, request: Request) -> None:
+        """Send a request if its hold is confirmed, else end it unsent."""
+        if request.was_sent:
             return
         hold = request.draw.holds[request.number]
         if hold.confirmed:
-            request.sent = True
-            self.wire.append((request, hold.tokens))
+            request.was_sent = True
+            self.requests_in_flight.append((request, hold.tokens))
         else:
             self.end(host, request, 0)
 
-    def arrive(self, place: int, tokens: int) -> None:
-        """Let a sent request reach the engine, however late."""
-        request, limit = self.wire.pop(place)
+    def deliver_request(self, place: int, tokens: int) -> None:
+        """Deliver a sent request to the engine, however late."""
+        request, limit = self.requests_in_flight.pop(place)
         if request.name not in self.engine.cancelled:
-            self.engine.runs[request.name] = Run(
+            self.engine.runs[request.name] = EngineRun(
                 key=request.key, limit=limit, tokens=min(tokens, limit)
             )
 
@@ -225,40 +229,40 @@
         if run is not None and request.name not in self.engine.cancelled:
             run.tokens = min(run.limit, run.tokens + tokens)
 
-    def finish(self, host: SimHost, request: Request) -> None:
-        """Let a host end a sent request with what the engine says it spent."""
-        if request.sent:
+    def finish(self, host: SimulatedHost, request: Request) -> None:
+        """End a sent request with the tokens that the engine reports."""
+        if request.was_sent:
             self.end(host, request, self.engine.cancel(request.name))
 
-    def end(self, host: SimHost, request: Request, tokens: int) -> None:
-        """Settle a request on its host."""
+    def end(self, host: SimulatedHost, request: Request, tokens: int) -> None:
+        """Settle the hold of a request on its host."""
         host.requests.remove(request)
         request.draw.settle_hold(request.number, tokens)
 
-    def settle(self, host: SimHost) -> None:
-        """Queue what the log has still to be told."""
+    def settle(self, host: SimulatedHost) -> None:
+        """Queue the settlements that the log does not have yet."""
         for draw, record in list(host.pool.make_settlements(host.state.draws)):
             draw.settling = True
             host.submit(record)
         host.pool.drop_closed(host.state.draws)
 
-    def give_back(self, host: SimHost, tokens: int) -> None:
-        """Queue a return of tokens that nothing holds."""
+    def return_tokens(self, host: SimulatedHost, tokens: int) -> None:
+        """Queue a return of tokens that no request holds."""
         usable = host.pool.count_usable(host.state.draws)
         record = host.pool.make_return(min(tokens, usable))
         if record is not None:
             host.submit(record)
 
-    def seal(self, host: SimHost) -> None:
-        """Let a witness give up every holder that it vouches for."""
+    def seal(self, host: SimulatedHost) -> None:
+        """Let a host seal every open draw that it is the witness of."""
         for name, draw in list(host.state.draws.items()):
             if draw.witness == host.name and draw.status is DrawStatus.OPEN:
                 record = host.table.seal(name, draw)
                 if record is not None:
                     host.submit(record)
 
-    def recover(self, host: SimHost) -> None:
-        """Let a host settle what is in doubt by the engine's word."""
+    def recover(self, host: SimulatedHost) -> None:
+        """Let a host resolve doubtful holds with the engine's figures."""
         for name, draw in list(host.state.draws.items()):
             if draw.status is not DrawStatus.SEALED:
                 continue
@@ -274,42 +278,47 @@
             if requests:
                 host.submit(Resolve(draw=name, requests=requests))
 
-    def count_possible(self) -> dict[str, int]:
-        """Return the dearest run of each key that may still come about."""
-        possible = self.engine.count_dearest()
-        sent = [(request.name, request.key, limit) for request, limit in self.wire]
+    def compute_possible_tokens_by_key(self) -> dict[str, int]:
+        """Return the largest run of each key that is still possible, in tokens."""
+        possible_by_key = self.engine.compute_max_tokens_by_key()
+        sent = [
+            (request.name, request.key, limit)
+            for request, limit in self.requests_in_flight
+        ]
         sent += [(name, run.key, run.limit) for name, run in self.engine.runs.items()]
         for host in self.hosts:
             sent += [
                 (request.name, request.key, request.tokens)
                 for request in host.requests
-                if not host.dead
-                and not request.sent
+                if not host.is_dead
+                and not request.was_sent
                 and request.draw.holds[request.number].confirmed
             ]
         for name, key, limit in sent:
             if name not in self.engine.cancelled:
-                possible[key] = max(possible.get(key, 0), limit)
-        return possible
+                possible_by_key[key] = max(possible_by_key.get(key, 0), limit)
+        return possible_by_key
 
     def check(self) -> None:
-        """Check what must hold after every step."""
+        """Check the invariants that must hold after every step."""
         self._check_amounts()
-        dearest = self.engine.count_dearest()
-        total = sum(dearest.values())
+        max_tokens_by_key = self.engine.compute_max_tokens_by_key()
+        total = sum(max_tokens_by_key.values())
         assert total <= self.peak_paid, f"executed {total}, paid {self.peak_paid}"
         account = self.oracle.accounts[ACCOUNT]
         taken = account.paid - account.free
-        possible = sum(self.count_possible().values())
+        possible = sum(self.compute_possible_tokens_by_key().values())
         assert possible <= taken, f"may execute {possible}, taken {taken}"
         for billed, tokens in self.oracle.billed.items():
             key = billed.removeprefix(f"{ACCOUNT}/")
-            assert tokens <= dearest.get(key, 0), f"{key} billed above its runs"
+            assert tokens <= max_tokens_by_key.get(key, 0), (
+                f"{key} billed above its runs"
+            )
 
         for host in self.hosts:
-            self._check_holder(host)
+            self._check_draws(host)
 
-    def _check_holder(self, host: SimHost) -> None:
+    def _check_draws(self, host: SimulatedHost) -> None:
         for draw in host.pool.list_draws():
             state = self.oracle.draws.get(draw.draw)
             if state is None or state.status is not DrawStatus.OPEN:
--- a/tests/fuzz/test_codecs.py
+++ b/tests/fuzz/test_codecs.py
@@ -1,4 +1,4 @@
-"""Throw bytes that are no messages at every border of a host."""
+"""Fuzz everything that decodes bytes from outside a host."""
 
 import asyncio
 import unittest
@@ -51,7 +51,7 @@
 
 
 def make_record(kind: type[Any]) -> Any:
-    """Return a valid record of a kind, with the plainest value in each field."""
+    """Return a valid record of a kind, with a minimal value in each required field."""
     plain = {int: 1, bool: True, bytes: b"x", str: "x"}
     hints = get_type_hints(kind)
     values = {
@@ -85,8 +85,8 @@
 )
 
 
-def damage(data: bytes, position: int, byte: int, cut: bool) -> bytes:
-    """Return bytes with one of them changed, or cut off there."""
+def damage_bytes(data: bytes, position: int, byte: int, cut: bool) -> bytes:
+    """Return bytes with one byte replaced, or truncated at its position."""
     position %= len(data)
     if cut:
         return data[:position]
@@ -94,7 +94,7 @@
 
 
 def replace_field(data: bytes, pick: int, value: object) -> bytes:
-    """Return an envelope's bytes with one field of the record or head replaced."""
+    """Return an envelope's bytes with one field of it or of its record replaced."""
     message: dict[str, Any] = cbor2.loads(data)
     record: dict[str, Any] = message["record"]
     names = [*message, *record]
@@ -105,7 +105,7 @@
 
 
 def fold_all(fold: Any, log: list[bytes]) -> list[object]:
-    """Fold a log as the follower does and return the verdicts."""
+    """Fold a log as a host does and return the verdicts, None for skipped records."""
     verdicts: list[object] = []
     for offset, data in enumerate(log):
         try:
@@ -119,14 +119,14 @@
 
 
 class RecordFuzz(unittest.TestCase):
-    """Damage records of each kind."""
+    """Test that damaged records are skipped alike by all hosts."""
 
     def make_board(self) -> Blackboard:
         """Return an empty blackboard."""
         return Blackboard(host="h", incarnation="i", data_center="d")
 
     def check(self, damaged: bytes, number: int) -> None:
-        """Fold a damaged record between good ones, on two hosts, and without it."""
+        """Check that two hosts agree on a damaged record and skip it without effect."""
         for make_fold, records in FOLDS:
             maker = make_fold(self.make_board())
             good = [
@@ -160,7 +160,7 @@
     def test_damaged_records(
         self, pick: int, position: int, byte: int, cut: bool
     ) -> None:
-        self.check(damage(encode_any(pick), position, byte, cut), pick)
+        self.check(damage_bytes(encode_any(pick), position, byte, cut), pick)
 
     @FUZZ
     @given(PICKS, st.integers(0, 20), VALUES)
@@ -177,10 +177,10 @@
             unpack_state(CONFIG_STATE_ADAPTER, packed)
 
     def test_checkpoint_that_inflates_beyond_the_limit_is_rejected(self) -> None:
-        """Claim more bytes than a state may have.
+        """Restore a checkpoint that decompresses to more bytes than a state may have.
 
-        A host that starts reads the checkpoint. Inflating it whole would take
-        all its memory; it stops at the limit and looks for another one.
+        A starting host reads the checkpoint. Decompressing all of it could exhaust
+        the host's memory; it stops at the limit and looks for another checkpoint.
         """
         content = "a" * (MAX_STATE_BYTES + 1)
         files = {FILE_NAME: FileState(content=content, revision=0)}
@@ -191,10 +191,10 @@
             unpack_state(CONFIG_STATE_ADAPTER, packed)
 
     def test_record_of_a_newer_version_is_skipped_until_the_upgrade(self) -> None:
-        """Meet a record of a newer version, then the stream's upgrade.
+        """Read a record of a newer version, then the stream's upgrade record.
 
-        The record alone is skipped by hosts of every version alike. At the
-        upgrade a host that does not know the version stops and must not guess.
+        Before the upgrade, hosts of every version skip the newer record. At the
+        upgrade, a host that does not support the version must stop.
         """
         board = self.make_board()
         fold = LedgerFold(blackboard=board, number=0)
@@ -218,22 +218,22 @@
 
 
 class PortFuzz(unittest.IsolatedAsyncioTestCase):
-    """Throw bytes at the ports of a running host."""
+    """Send malformed bytes to the ports of a running host."""
 
     async def test_bad_bytes_on_every_port_leave_a_host_serving(self) -> None:
-        """Send a host garbage as a peer, a caller and an operator, and on the log.
+        """Send a host malformed bytes as peer, caller and operator, and by the log.
 
-        Each is answered or dropped and logged. The host goes on: it answers a
-        peer's heartbeat, a caller and an operator afterwards, and its streams
-        are read to their end.
+        The host answers each with an error, or drops and logs it. Afterwards it
+        still answers a peer's heartbeat, a caller and an operator, and reads its
+        streams to the end.
         """
         async with Fleet(n_hosts=2) as fleet:
             host = fleet.hosts[0]
-            await self.throw_at_peer_port(host, list(make_frames()))
-            await self.throw_at_http(fleet, host)
+            await self.send_bad_frames_to_peer_port(host, list(make_bad_frames()))
+            await self.send_bad_bodies_to_http_ports(fleet, host)
             for stream in ("config", "ledger-0"):
                 url = f"{fleet.log.url}/streams/{stream}/records"
-                for data in make_frames():
+                for data in make_bad_frames():
                     async with fleet.launcher.session.post(
                         url, data=cbor2.dumps([data])
                     ) as response:
@@ -258,8 +258,10 @@
                 self.assertEqual(traces, [])
             self.assertEqual(states[0], states[1])
 
-    async def throw_at_peer_port(self, host: Running, frames: list[bytes]) -> None:
-        """Send each frame, also as text and as plain TCP, then a heartbeat."""
+    async def send_bad_frames_to_peer_port(
+        self, host: Running, frames: list[bytes]
+    ) -> None:
+        """Send each frame as binary and text, then raw TCP bytes, then a heartbeat."""
         url = f"ws://{host.address}:{host.ports['peer_port']}"
         for data in frames:
             try:
@@ -284,8 +286,8 @@
             assert isinstance(reply, bytes)
             self.assertIsInstance(FRAME_CODEC.decode(reply).body, Heartbeat)
 
-    async def throw_at_http(self, fleet: Fleet, host: Running) -> None:
-        """Post each body to each path; every answer is a client's error."""
+    async def send_bad_bodies_to_http_ports(self, fleet: Fleet, host: Running) -> None:
+        """Post each body to each path and expect a 4xx status."""
         headers = {"Authorization": f"Bearer {SECRET}"}
         paths = [
             f"{host.caller_url}/v1/chat/completions",
@@ -294,7 +296,7 @@
             f"{host.operator_url}/budgets/brest/top-up",
         ]
         for path in paths:
-            for data in make_frames():
+            for data in make_bad_frames():
                 async with fleet.launcher.session.post(
                     path, data=data, headers=headers
                 ) as response:
@@ -312,12 +314,14 @@
             await fleet.launcher.session.get(f"http://{host.address}:1")
 
 
-def make_frames() -> list[bytes]:
-    """Return a fixed set of bad bytes: random, deep, damaged and mistyped."""
+def make_bad_frames() -> list[bytes]:
+    """Return fixed malformed frames: damaged, truncated, deeply nested, mistyped."""
     body = Heartbeat(host="h", incarnation="i")
     frame: Frame[PeerMessage] = Frame(number=1, reply=False, body=body)
     good = FRAME_CODEC.encode(frame)
-    damaged = [damage(good, position, 0xFF, False) for position in range(len(good))]
+    damaged = [
+        damage_bytes(good, position, 0xFF, False) for position in range(len(good))
+    ]
     cut = [good[:position] for position in range(0, len(good), 5)]
     deep = [b"\x81" * 100_000, b"\xa1\x61a" * 5_000]
     items: list[object] = [1, None, "x", [], {}, {"number": -1}]
--- a/tests/fuzz/test_configuration_machine.py
+++ b/tests/fuzz/test_configuration_machine.py
@@ -1,4 +1,4 @@
-"""Drive the configuration's fold on several hosts through every order of faults."""
+"""Fuzz the configuration's fold on several hosts with faults in random order."""
 
 import unittest
 
@@ -11,7 +11,7 @@
     run_state_machine_as_test,
 )
 
-from tests.fuzz.configuration_host import SimHost, pack
+from tests.fuzz.configuration_host import SimulatedHost, pack_configuration
 from tests.fuzz.configuration_oracle import Oracle
 from trefoilstage.components.log_client.checkpoints import split_checkpoint
 from trefoilstage.configuration.merge import merge_files
@@ -57,7 +57,7 @@
 
 
 class ConfigurationMachine(RuleBasedStateMachine):
-    """Let operators race at hosts that lag, die and start from checkpoints."""
+    """Publish concurrently through hosts that lag, die and start from checkpoints."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -65,7 +65,7 @@
         self.next_offset = 0
         self.earliest = 0
         self.oracles = [Oracle()]
-        self.hosts = [SimHost(incarnation=f"h{n}") for n in range(N_HOSTS)]
+        self.hosts = [SimulatedHost(incarnation=f"h{n}") for n in range(N_HOSTS)]
         self.n_started = N_HOSTS
         self.n_operations = 0
         self.changes: list[Publish | Remove] = []
@@ -74,21 +74,21 @@
         self.revisions = [-1] * N_HOSTS
 
     def append(self, data: bytes, record: object = None, writer: str = "") -> None:
-        """Put bytes on the log and let the oracle judge what they hold."""
+        """Append bytes to the log and apply their record to the oracle."""
         oracle = self.oracles[-1].copy()
-        oracle.judge(self.next_offset, writer, record)
+        oracle.apply_record(self.next_offset, writer, record)
         self.log[self.next_offset] = data
         self.next_offset += 1
         self.oracles.append(oracle)
 
-    def pick_base(self, host: SimHost, name: str, stale: int) -> int:
-        """Return the revision that an operator at a host saw, or an old one."""
+    def pick_base(self, host: SimulatedHost, name: str, stale: int) -> int:
+        """Return a file's revision as a host knows it, or an older one."""
         present = host.blackboard.config.files.get(name)
         known = present.revision if present else -1
         return known if stale % 4 else min(known, stale)
 
-    def send(self, host: SimHost, record: object) -> None:
-        """Append a record of a host; it may land again later."""
+    def send(self, host: SimulatedHost, record: object) -> None:
+        """Append a record of a host; `land_again` may append it a second time."""
         data = host.encode(record)
         self.landed.append(data)
         self.append(data, record, host.incarnation)
@@ -154,12 +154,12 @@
     def checkpoint(self, place: int) -> None:
         host = self.hosts[place]
         if host.config.next_offset > 0:
-            for part in split_checkpoint(pack(host)):
+            for part in split_checkpoint(pack_configuration(host)):
                 self.append(host.encode(part))
 
     @rule(count=st.integers(min_value=1, max_value=15))
     def expire(self, count: int) -> None:
-        # The schedule keeps a checkpoint within retention while a host lives.
+        # Running hosts write checkpoints often enough that one is always retained.
         newest = max(host.config.next_offset for host in self.hosts)
         for offset in range(self.earliest, min(self.earliest + count, newest)):
             del self.log[offset]
@@ -171,7 +171,7 @@
         if max(host.config.next_offset for host in others) < self.earliest:
             return
         self.n_started += 1
-        self.hosts[place] = SimHost(incarnation=f"h{self.n_started}")
+        self.hosts[place] = SimulatedHost(incarnation=f"h{self.n_started}")
         self.revisions[place] = -1
 
     @rule(place=PLACES)
@@ -229,10 +229,10 @@
                     assert account.revision == newest[record.account]
 
     def teardown(self) -> None:
-        """Let every host read on: all agree on the files, verdicts and limits."""
+        """Let every host read the whole log and check that all agree."""
         reader = max(self.hosts, key=lambda host: host.config.next_offset)
         reader.read(self.log, self.earliest, len(self.log))
-        for part in split_checkpoint(pack(reader)):
+        for part in split_checkpoint(pack_configuration(reader)):
             self.append(reader.encode(part))
         for host in self.hosts:
             host.read(self.log, self.earliest, len(self.log))
@@ -256,11 +256,11 @@
     def test_late_limit_does_not_undo_a_newer_one(self) -> None:
         """Raise a budget and set it back while one host lags.
 
-        The host that lags writes the raised limit after the others wrote the
-        old one anew. It must not come back: the operator's last accepted word
-        is the lower one, and draws beyond it would be overspend.
+        The lagging host writes the raised limit after the others wrote the lower
+        one again. The raised limit must not take effect: the lower one is the
+        operator's last accepted change, and draws beyond it would be overspend.
         """
-        host = SimHost(incarnation="h")
+        host = SimulatedHost(incarnation="h")
         limits = []
         for number, tokens in enumerate([100, 200, 100]):
             base = host.blackboard.config.files.get("10-a.toml")
--- a/tests/fuzz/test_ledger_machine.py
+++ b/tests/fuzz/test_ledger_machine.py
@@ -1,4 +1,4 @@
-"""Drive the ledger, draws and witnesses through every order of faults."""
+"""Fuzz the ledger, draws and witnesses with faults in random order."""
 
 import unittest
 from enum import IntEnum
@@ -13,7 +13,7 @@
     run_state_machine_as_test,
 )
 
-from tests.fuzz.ledger_actors import SimHost
+from tests.fuzz.ledger_actors import SimulatedHost
 from tests.fuzz.ledger_world import World
 from trefoilstage.components.budget.draw_pool import NO_WITNESS
 
@@ -28,10 +28,10 @@
 
 
 class Stage(IntEnum):
-    """Name how far a request gets before the next fault."""
+    """Name the stage that a request reaches before the next fault."""
 
     HELD = 0
-    TOLD = 1
+    WITNESS_CALLED = 1
     CONFIRMED = 2
     SENT = 3
     ARRIVED = 4
@@ -52,23 +52,23 @@
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """Let any host take any step, lose any message and die at any moment."""
+    """Let any host take any step, lose any message and die at any time."""
 
     def __init__(self) -> None:
         super().__init__()
         self.world = World(n_hosts=N_HOSTS, tokens=150)
 
-    def pick(self, place: int) -> SimHost:
-        """Return a host by its place; the newest ones stand first."""
+    def pick(self, place: int) -> SimulatedHost:
+        """Return a host by its place, counted from the newest host."""
         return self.world.hosts[-1 - place]
 
-    def pick_running(self, place: int) -> SimHost | None:
-        """Return a host that does something now."""
+    def pick_running(self, place: int) -> SimulatedHost | None:
+        """Return a host by its place, None if it is not running."""
         host = self.pick(place)
-        return host if host.runs else None
+        return host if host.is_running else None
 
-    def draw(self, host: SimHost, tokens: int, rate: float) -> None:
-        """Draw with a peer as witness, or now and then without one."""
+    def draw(self, host: SimulatedHost, tokens: int, rate: float) -> None:
+        """Draw with a peer as witness; every seventh amount has no witness."""
         peers = [peer for peer in self.world.hosts if peer is not host]
         witness = peers[tokens % len(peers)].name if tokens % 7 else NO_WITNESS
         self.world.draw(host, tokens, rate, witness)
@@ -87,7 +87,7 @@
             self.draw(host, tokens, rate)
             world.exchange()
         world.reserve(host, key, tokens, fenced=tokens % 5 > 0)
-        if stage >= Stage.TOLD:
+        if stage >= Stage.WITNESS_CALLED:
             world.call_witness(host)
         if stage >= Stage.CONFIRMED:
             self.confirm_all(host)
@@ -97,7 +97,7 @@
             world.settle(host)
             world.exchange(self.pick(lag))
 
-    def run_all(self, host: SimHost, tokens: int, stage: Stage) -> None:
+    def run_all(self, host: SimulatedHost, tokens: int, stage: Stage) -> None:
         """Take a host's confirmed requests up to a stage."""
         world = self.world
         for request in list(host.requests):
@@ -109,20 +109,20 @@
                 world.finish(host, request)
             self.confirm_all(host)
 
-    def confirm_all(self, host: SimHost) -> None:
-        """Let a host's calls be answered and its next ones too."""
+    def confirm_all(self, host: SimulatedHost) -> None:
+        """Deliver a host's calls with their replies, twice."""
         world = self.world
         for _ in range(2):
             for name, call in list(host.calls.items()):
-                if call in world.calls:
-                    world.answer_call(call, repeat=False)
-                world.take_reply(host, name, lost=False)
+                if call in world.calls_in_flight:
+                    world.deliver_call(call, repeat=False)
+                world.receive_reply(host, name, lost=False)
             world.call_witness(host)
 
     def arrive_all(self, tokens: int) -> None:
-        """Let everything sent reach the engine."""
-        while self.world.wire:
-            self.world.arrive(0, tokens)
+        """Deliver all sent requests to the engine."""
+        while self.world.requests_in_flight:
+            self.world.deliver_request(0, tokens)
 
     @rule(place=PLACES, tokens=AMOUNTS, rate=RATES)
     def draw_more(self, place: int, tokens: int, rate: float) -> None:
@@ -131,25 +131,25 @@
 
     @rule(place=PLACES, number=PLACES, lost=st.booleans(), repeat=st.booleans())
     def pass_message(self, place: int, number: int, lost: bool, repeat: bool) -> None:
-        """Lose, repeat or deliver in any order what holders tell witnesses."""
-        calls = self.world.calls
+        """Lose, repeat or deliver calls to witnesses in any order."""
+        calls = self.world.calls_in_flight
         if calls:
             call = calls[number % len(calls)]
             if lost and not repeat:
                 calls.remove(call)
             else:
-                self.world.answer_call(call, repeat=repeat)
+                self.world.deliver_call(call, repeat=repeat)
         if host := self.pick_running(place):
             for name in list(host.calls):
-                self.world.take_reply(host, name, lost=lost)
+                self.world.receive_reply(host, name, lost=lost)
             self.world.call_witness(host)
 
     @rule(place=PLACES, number=PLACES, tokens=AMOUNTS, ends=st.booleans())
     def run_request(self, place: int, number: int, tokens: int, ends: bool) -> None:
-        """Send one request, let one arrive, run on or end."""
+        """Deliver one request; send, run or end another."""
         world = self.world
-        if world.wire:
-            world.arrive(number % len(world.wire), tokens)
+        if world.requests_in_flight:
+            world.deliver_request(number % len(world.requests_in_flight), tokens)
         requests = self.pick(place).requests
         if not requests:
             return
@@ -158,29 +158,29 @@
         host = self.pick_running(place)
         if host is None:
             return
-        if request.sent and ends:
+        if request.was_sent and ends:
             world.finish(host, request)
         else:
             world.send(host, request)
 
     @rule(place=PLACES, tokens=AMOUNTS, settles=st.booleans())
     def tell_log(self, place: int, tokens: int, settles: bool) -> None:
-        """Settle or give back."""
+        """Settle requests or return tokens."""
         if host := self.pick_running(place):
             if settles:
                 self.world.settle(host)
             else:
-                self.world.give_back(host, tokens)
+                self.world.return_tokens(host, tokens)
             self.world.flush(host, tokens % 4, lost=tokens % 3 == 0)
 
     @rule(place=PLACES, n_records=COUNTS, lost=st.booleans())
     def flush(self, place: int, n_records: int, lost: bool) -> None:
-        """Append; a group under way may land though its host has died."""
+        """Append queued records, also those of a dead host that were in flight."""
         self.world.flush(self.pick(place), n_records, lost=lost)
 
     @rule(place=PLACES, n_records=COUNTS, source=PLACES, restores=st.booleans())
     def read(self, place: int, n_records: int, source: int, restores: bool) -> None:
-        """Read on, or start again from another host's checkpoint."""
+        """Read records, possibly after another host's checkpoint."""
         if host := self.pick_running(place):
             if restores:
                 self.world.restore(host, self.pick(source))
@@ -192,7 +192,7 @@
 
     @rule(place=PLACES)
     def seal(self, place: int) -> None:
-        """Let a witness give up its holders, be it right or wrong."""
+        """Let a witness seal its holders' draws, whether or not they are alive."""
         if host := self.pick_running(place):
             self.world.seal(host)
             self.world.flush(host, len(host.outbox), lost=False)
@@ -207,19 +207,19 @@
     @rule(place=PLACES)
     def freeze_or_wake(self, place: int) -> None:
         host = self.pick(place)
-        host.frozen = not host.frozen
+        host.is_frozen = not host.is_frozen
 
     @precondition(lambda self: len(self.world.hosts) < MAX_HOSTS)
     @rule(place=PLACES, retires=st.booleans())
     def lose_host(self, place: int, retires: bool) -> None:
-        """Replace a host, or let one retire its draw for want of a witness."""
+        """Replace a host, or retire its draw as if the witness were lost."""
         host = self.pick(place)
         if retires:
-            if host.runs:
+            if host.is_running:
                 host.pool.retire_current()
                 self.world.settle(host)
             return
-        host.dead = True
+        host.is_dead = True
         self.world.add_host()
 
     @rule(tokens=LIMITS, changes_limit=st.booleans(), again=st.booleans())
--- a/tests/fuzz/test_target_entries.py
+++ b/tests/fuzz/test_target_entries.py
@@ -1,4 +1,4 @@
-"""Fuzz targets' entries from their bytes in the store to the choice of a target."""
+"""Fuzz target entries from their bytes in the store to the list of ready targets."""
 
 import json
 import unittest
@@ -19,7 +19,7 @@
 )
 from trefoilstage.platform.store import decode_content
 
-SOUND = "i-sound"
+VALID_NAME = "i-valid"
 JSON_VALUES = st.recursive(
     st.none()
     | st.booleans()
@@ -35,7 +35,7 @@
 )
 DEEP = b"[" * 100_000
 HUGE = json.dumps({**ENTRY, "service": "s" * 1_000_000}).encode()
-SPOILT_ENTRIES = st.one_of(
+MALFORMED_ENTRIES = st.one_of(
     st.binary(max_size=60),
     st.sampled_from([DEEP, HUGE, b"null", b"{}", b"\xff\xfe"]),
     st.dictionaries(st.sampled_from([*ENTRY, "born"]), JSON_VALUES).map(
@@ -48,17 +48,17 @@
 
 
 class TargetEntryFuzz(unittest.TestCase):
-    """Test what another writer's entries can bring about."""
+    """Test that malformed entries do not affect other targets."""
 
     @settings(max_examples=300, deadline=None, derandomize=True)
-    @given(entries=st.lists(st.tuples(st.binary(max_size=8), SPOILT_ENTRIES)))
-    def test_spoilt_entries_cost_no_other(
+    @given(entries=st.lists(st.tuples(st.binary(max_size=8), MALFORMED_ENTRIES)))
+    def test_malformed_entries_do_not_affect_a_valid_one(
         self, entries: list[tuple[bytes, bytes]]
     ) -> None:
-        """Write entries of any bytes beside a sound one.
+        """Write malformed entries next to a valid one.
 
-        Hosts go on using the sound one, whatever comes before and after it, and all
-        that they would use besides has every field of an entry.
+        Hosts keep using the valid entry, and every other entry that they accept
+        has all fields with values of their types.
         """
         board = make_board("host-0", ["host-0"])
         watcher = BoardWatcher(
@@ -68,26 +68,27 @@
             decode_target=decode_target,
         )
         view = KeyedView()
-        sound = KeyedRecord(key=SOUND, offset=0, value=encode_entry())
-        watcher.take(Topic.TARGETS, view.merge([sound]), 1.0)
+        valid = KeyedRecord(key=VALID_NAME, offset=0, value=encode_entry())
+        watcher.take(Topic.TARGETS, view.merge([valid]), 1.0)
         for offset, (key, value) in enumerate(entries, start=1):
             record = decode_content(bytes([len(key)]) + key + value, offset)
             watcher.take(Topic.TARGETS, view.merge([record]), 1.0)
         ready = board.targets.list_ready("x", 1.0)
-        self.assertIn(SOUND, [entry.name for entry in ready])
+        self.assertIn(VALID_NAME, [entry.name for entry in ready])
         for entry in ready:
             self.check(entry)
 
     def check(self, entry: TargetEntry) -> None:
-        """Check that an entry in use has the values of its types."""
+        """Check that the fields of an accepted entry have their types."""
         self.assertEqual(type(entry.slots), int)
         self.assertEqual(type(entry.started_ms), int)
         self.assertGreater(int(entry.address.rpartition(":")[2]), 0)
 
-    def test_spoilt_entry_of_a_known_target_ends_its_use(self) -> None:
-        """Overwrite a target's entry with one whose state nobody knows.
+    def test_entry_with_an_unknown_state_removes_the_target(self) -> None:
+        """Overwrite a target's entry with one whose state is unknown.
 
-        It may say that the target leaves. The next proper entry brings it back.
+        The new state may mean that the target is leaving, so hosts stop using it. The
+        next valid entry brings it back.
         """
         board = make_board("host-0", ["host-0"])
         watcher = BoardWatcher(
@@ -100,7 +101,7 @@
             [("ready", 1), ("leaving", 0), ("ready", 1)]
         ):
             value = encode_entry(state=state)
-            record = KeyedRecord(key=SOUND, offset=offset, value=value)
+            record = KeyedRecord(key=VALID_NAME, offset=offset, value=value)
             watcher.take(Topic.TARGETS, [record], 1.0)
             self.assertEqual(len(board.targets.list_ready("x", 1.0)), n_ready)
 
