--- a/scripts/run_fuzz.py
+++ b/scripts/run_fuzz.py
@@ -1,4 +1,4 @@
-"""Run the state machines of tests/fuzz with new seeds until the time is up."""
+"""Run the state machines of tests/fuzz with new seeds for a given time."""
 
 import argparse
 import importlib
@@ -11,16 +11,16 @@
 from hypothesis import HealthCheck, Phase, Verbosity, seed, settings
 from hypothesis.stateful import RuleBasedStateMachine, run_state_machine_as_test
 
-FOLDER = Path("tests/fuzz")
+TESTS_FOLDER = Path("tests/fuzz")
 EXAMPLES_PER_SEED = 300
-STEPS = 100
+STEPS_PER_EXAMPLE = 100
 SECONDS_PER_MINUTE = 60
 
 
 def list_machines(names: list[str]) -> list[type[RuleBasedStateMachine]]:
-    """Return the machines of tests/fuzz, only the named ones if any are."""
+    """Return the machines of tests/fuzz, only those in `names` if it has any."""
     machines = []
-    for path in sorted(FOLDER.glob("test_*_machine.py")):
+    for path in sorted(TESTS_FOLDER.glob("test_*_machine.py")):
         module = importlib.import_module(f"tests.fuzz.{path.stem}")
         for name, item in sorted(vars(module).items()):
             is_machine = inspect.isclass(item) and issubclass(
@@ -31,11 +31,11 @@
     return [item for name, item in machines if not names or name in names]
 
 
-def run_once(machine: type[RuleBasedStateMachine], number: int) -> bool:
-    """Run a machine with a seed; tell whether it held."""
+def run_machine(machine: type[RuleBasedStateMachine], seed_number: int) -> bool:
+    """Run a machine with a seed and return whether its invariants held."""
     profile = settings(
         max_examples=EXAMPLES_PER_SEED,
-        stateful_step_count=STEPS,
+        stateful_step_count=STEPS_PER_EXAMPLE,
         database=None,
         deadline=None,
         phases=[Phase.generate, Phase.shrink],
@@ -43,19 +43,19 @@
         print_blob=True,
         suppress_health_check=list(HealthCheck),
     )
-    seeded = seed(number)(type(machine.__name__, (machine,), {}))
+    seeded = seed(seed_number)(type(machine.__name__, (machine,), {}))
     try:
         run_state_machine_as_test(seeded, settings=profile)
     except Exception as error:
-        # Hypothesis raises whatever the example raised and notes its steps.
-        print(f"FAILED {machine.__name__} seed={number}: {error!r}")
+        # Hypothesis raises the error of the example, with its steps as notes.
+        print(f"FAILED {machine.__name__} seed={seed_number}: {error!r}")
         print("\n".join(getattr(error, "__notes__", [])))
         return False
     return True
 
 
 def main() -> None:
-    """Fuzz until the time is up; exit with 1 at the first failure."""
+    """Run the machines until the time is up; exit with 1 at the first failure."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--minutes", type=float, required=True)
     parser.add_argument(
@@ -66,18 +66,18 @@
     sys.path.insert(0, ".")
     machines = list_machines(options.machines)
     if not machines:
-        sys.exit("no such machine")
+        sys.exit("no state machine has the given name")
     deadline = time.monotonic() + options.minutes * SECONDS_PER_MINUTE
-    number = options.seed
+    seed_number = options.seed
     n_runs = 0
     while time.monotonic() < deadline:
         for machine in machines:
-            if not run_once(machine, number):
+            if not run_machine(machine, seed_number):
                 sys.exit(1)
             n_runs += 1
-        number += 1
+        seed_number += 1
     n_examples = n_runs * EXAMPLES_PER_SEED
-    print(f"{n_examples} examples held, seeds {options.seed} to {number - 1}")
+    print(f"{n_examples} examples passed, seeds {options.seed} to {seed_number - 1}")
 
 
 if __name__ == "__main__":
--- a/scripts/run_tests.py
+++ b/scripts/run_tests.py
@@ -1,4 +1,4 @@
-"""Run the tests and report them with the known failures told apart."""
+"""Run the tests and report known failures separately."""
 
 import os
 import subprocess
@@ -8,13 +8,13 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-KNOWN_RED = Path("KNOWN-RED.txt")
+KNOWN_RED_FILE = Path("KNOWN-RED.txt")
 MAX_WORKERS = 6
 
 
 @dataclass(kw_only=True, slots=True)
 class Report:
-    """Hold the names of the tests by result."""
+    """List the names of tests by result."""
 
     passed: list[str] = field(default_factory=list)
     failed: list[str] = field(default_factory=list)
@@ -22,15 +22,15 @@
 
 
 def read_known_red() -> list[str]:
-    """Return the tests that may fail, the first word of each line."""
-    if not KNOWN_RED.exists():
+    """Return the names of tests that may fail, the first word of each line."""
+    if not KNOWN_RED_FILE.exists():
         return []
-    lines = KNOWN_RED.read_text().splitlines()
+    lines = KNOWN_RED_FILE.read_text().splitlines()
     return [line.split()[0] for line in lines if line and not line.startswith("#")]
 
 
 def run_nose2(folder: Path, arguments: list[str]) -> tuple[Path, int]:
-    """Run nose2 and return the path of its report and its exit code."""
+    """Run nose2 and return the path of its JUnit report and its exit code."""
     path = folder / "report.xml"
     config = folder / "nose2.cfg"
     n_workers = min(MAX_WORKERS, os.cpu_count() or 1)
@@ -46,12 +46,12 @@
 
 
 def read_report(path: Path, known_red: list[str]) -> Report:
-    """Return the results in a JUnit report."""
+    """Return the results that a JUnit report contains."""
     report = Report()
     for case in ElementTree.parse(path).getroot().iter("testcase"):
         name = f"{case.get('classname')}.{case.get('name')}"
-        bad = case.find("failure") is not None or case.find("error") is not None
-        if not bad:
+        has_failed = case.find("failure") is not None or case.find("error") is not None
+        if not has_failed:
             report.passed.append(name)
         elif name in known_red:
             report.known_red.append(name)
@@ -61,19 +61,19 @@
 
 
 def main() -> None:
-    """Run the tests and exit with 1 when one failed that is not known."""
+    """Run the tests; exit with 1 if a test failed that is not a known failure."""
     with tempfile.TemporaryDirectory() as folder:
         path, code = run_nose2(Path(folder), sys.argv[1:])
         if not path.exists():
-            sys.exit("the runner wrote no report")
+            sys.exit("nose2 wrote no report")
         report = read_report(path, read_known_red())
     for name in report.known_red:
         print(f"KNOWN RED {name}")
     for name in report.failed:
         print(f"FAILED {name}")
     print(f"{len(report.passed)} passed, {len(report.failed)} failed")
-    crashed = code != 0 and not report.failed and not report.known_red
-    sys.exit(1 if report.failed or crashed or not report.passed else 0)
+    has_crashed = code != 0 and not report.failed and not report.known_red
+    sys.exit(1 if report.failed or has_crashed or not report.passed else 0)
 
 
 if __name__ == "__main__":
