--- a/bench/emulator/callers.py
+++ b/bench/emulator/callers.py
@@ -21,7 +21,7 @@
 # Callers wait at most this share of their remaining time before a retry.
 MAX_RETRY_WAIT_SHARE = 1 / 3
 RETRY_PAUSE_S = 0.1
-MIN_SIZE_TOKENS = 16
+MIN_SAMPLE_TOKENS = 16
 SIZE_SIGMA = 0.8  # standard deviation of the logarithm of sizes
 MAX_SIZE_FACTOR = 4.0  # relative to the mean
 MIN_OUTPUT_TOKENS = 4
@@ -103,7 +103,7 @@
     def sample_size(self, mean: float) -> int:
         """Return a log-normal number of tokens with a given mean, before limits."""
         factor = self.generator.lognormvariate(-SIZE_SIGMA * SIZE_SIGMA / 2, SIZE_SIGMA)
-        return max(MIN_SIZE_TOKENS, int(mean * min(MAX_SIZE_FACTOR, factor)))
+        return max(MIN_SAMPLE_TOKENS, int(mean * min(MAX_SIZE_FACTOR, factor)))
 
     def sample_request(self, kind: Kind) -> CallerRequest:
         """Return a new request of a kind."""
@@ -191,7 +191,7 @@
     async def _send_once(self, deadline: float) -> Refusal | Exception | None:
         self._reply = RecordedReply()
         remaining_s = deadline - asyncio.get_running_loop().time()
-        host = self._pick_host()
+        host = self._sample_host()
         try:
             async with asyncio.timeout(remaining_s):
                 return await host.serve(
@@ -203,7 +203,7 @@
         except (TimeoutError, HostLostError) as error:
             return error
 
-    def _pick_host(self) -> EmulatedHost:
+    def _sample_host(self) -> EmulatedHost:
         serving = [host for host in self._hosts if host.is_serving]
         return self._generator.choice(serving or list(self._hosts))
 
--- a/bench/emulator/engine.py
+++ b/bench/emulator/engine.py
@@ -65,10 +65,12 @@
 class EmulatedEngine:
     """Run requests step by step; a crash ends all of them and empties the cache."""
 
-    def __init__(self, *, name: str, speed: EngineSpeed, slowness: float) -> None:
+    def __init__(
+        self, *, name: str, speed: EngineSpeed, duration_factor: float
+    ) -> None:
         self.name = name
         self.speed = speed
-        self._slowness = slowness
+        self._duration_factor = duration_factor
         self._waiting: list[Generation] = []
         self._running: list[Generation] = []
         self._cache: OrderedDict[str, int] = OrderedDict()
@@ -166,7 +168,7 @@
         ms = self.speed.step_ms + self.speed.step_ms_per_request * len(self._running)
         ms += n_prefilled / self.speed.prefill_tokens_per_ms
         ms += self.speed.attention_ms_per_million_pairs * n_pairs / 1e6
-        return ms * S_PER_MS * self._slowness
+        return ms * S_PER_MS * self._duration_factor
 
     def _end_step(self, running: list[Generation]) -> None:
         for generation in running:
@@ -203,6 +205,6 @@
             self.totals.n_preempted += 1
 
 
-def sample_slowness(generator: random.Random) -> float:
+def sample_duration_factor(generator: random.Random) -> float:
     """Return a target's duration of a step relative to the fastest targets."""
     return generator.choice([1.0, 1.0, 1.3])
--- a/bench/emulator/host.py
+++ b/bench/emulator/host.py
@@ -32,7 +32,7 @@
 # A process takes this long to start, in addition to the time that it stays down.
 RESTART_S = 0.5
 READY_POLL_S = 0.02
-FIRST_HEARTBEATS_WAIT_S = 0.6
+MEET_PEERS_TIMEOUT_S = 0.6
 PORT = 1
 
 
@@ -132,7 +132,7 @@
         while board.configuration is None:
             await asyncio.sleep(READY_POLL_S)
         loop = asyncio.get_running_loop()
-        wait_until = loop.time() + FIRST_HEARTBEATS_WAIT_S
+        wait_until = loop.time() + MEET_PEERS_TIMEOUT_S
         while not parts.membership.has_met_all() and loop.time() < wait_until:
             await asyncio.sleep(READY_POLL_S)
         board.phase = Phase.SERVING
@@ -144,7 +144,7 @@
         if parts is None or store_client is None:
             return
         self._n_boots += loses_power
-        store_client.killed = True
+        store_client.is_killed = True
         self._network.servers.pop(parts.membership.peer_url, None)
         self._starting.cancel()
         self._parts = self._board = None
--- a/bench/emulator/network.py
+++ b/bench/emulator/network.py
@@ -19,7 +19,7 @@
 
 ONE_WAY_S = 0.0007
 STORE_CALL_S = 0.006
-# A call from a cut host hangs this long, as until a client's timeout.
+# A call from a cut host hangs this long before it fails, as with a client's timeout.
 CUT_CALL_S = 1.5
 
 
@@ -28,12 +28,12 @@
 
     def __init__(self) -> None:
         self.store = KeyedStore()
-        self.slowness = 1.0
+        self.delay_factor = 1.0
         self.cut_hosts: set[str] = set()
         self.n_calls = 0
         self._changed: dict[Topic, asyncio.Event] = defaultdict(asyncio.Event)
 
-    def note_change(self, topic: Topic) -> None:
+    def notify_change(self, topic: Topic) -> None:
         """Wake the reads that wait for a change of a topic."""
         self._changed.pop(topic, asyncio.Event()).set()
 
@@ -52,15 +52,15 @@
     def __init__(self, *, host: str, shared_store: SharedStore) -> None:
         self._host = host
         self._shared_store = shared_store
-        self.killed = False
+        self.is_killed = False
 
     async def _call_store(self) -> None:
         self._shared_store.n_calls += 1
-        if self.killed or self._host in self._shared_store.cut_hosts:
+        if self.is_killed or self._host in self._shared_store.cut_hosts:
             await asyncio.sleep(CUT_CALL_S)
             raise StoreUnavailableError("cut off")
-        await asyncio.sleep(STORE_CALL_S * self._shared_store.slowness)
-        if self.killed:
+        await asyncio.sleep(STORE_CALL_S * self._shared_store.delay_factor)
+        if self.is_killed:
             raise StoreUnavailableError("killed")
 
     async def list_newest(self, topic: Topic, partition: int = 0) -> Listing:
@@ -76,7 +76,7 @@
         found = await self._shared_store.store.read(topic, offset, wait_s, partition)
         if not found.records and wait_s > 0:
             await self._shared_store.wait_for_change(topic, wait_s)
-            if self.killed or self._host in self._shared_store.cut_hosts:
+            if self.is_killed or self._host in self._shared_store.cut_hosts:
                 raise StoreUnavailableError("cut off")
             found = await self._shared_store.store.read(
                 topic, offset, wait_s, partition
@@ -97,7 +97,7 @@
         offset = await self._shared_store.store.put(
             topic, key, value, partition=partition, at=at
         )
-        self._shared_store.note_change(topic)
+        self._shared_store.notify_change(topic)
         return offset
 
 
--- a/bench/emulator/sender.py
+++ b/bench/emulator/sender.py
@@ -37,11 +37,11 @@
 
     engine: EmulatedEngine
     generation: Generation
-    first: int
+    n_first_event_tokens: int
 
     async def read(self) -> AsyncIterator[bytes]:
         """Yield events as they are generated; raise AnswerBrokenError on a crash."""
-        n_generated: int | None = self.first
+        n_generated: int | None = self.n_first_event_tokens
         number = 0
         while n_generated is not None:
             number += 1
@@ -161,5 +161,5 @@
             response=cast(Any, None),
             engine=engine,
             generation=generation,
-            first=first,
+            n_first_event_tokens=first,
         )
--- a/bench/emulator/world.py
+++ b/bench/emulator/world.py
@@ -12,7 +12,7 @@
     EmulatedEngine,
     EngineSpeed,
     EngineTotals,
-    sample_slowness,
+    sample_duration_factor,
 )
 from bench.emulator.host import (
     CONFIGURATION_KEY,
@@ -104,7 +104,7 @@
             EmulatedEngine(
                 name=f"engine-{number}",
                 speed=speed,
-                slowness=sample_slowness(self._generator),
+                duration_factor=sample_duration_factor(self._generator),
             )
             for number in range(engines.n)
         ]
@@ -151,7 +151,7 @@
         await self._shared_store.store.put(Topic.CONFIGURATION, CONFIGURATION_KEY, b"1")
 
     def _make_workspaces(self) -> dict[str, Workspace]:
-        """Return the workspaces; the n-th gets 1/n of the first one's traffic."""
+        """Return workspaces; the n-th has 1/n of the first one's traffic and budget."""
         n = self._scenario.n_workspaces
         self._workspace_weights = {
             f"ws-{number}": 1 / (number + 1) for number in range(n)
@@ -179,7 +179,7 @@
             get_n_output_tokens=lambda request: (
                 self._request_sampler.n_output_tokens_by_request[request.request_id]
             ),
-            on_start=self._crash_if_crashing,
+            on_start=self._crash_if_crashing_request,
         )
         self._hosts = [
             EmulatedHost(
@@ -221,7 +221,7 @@
             started_ms=target.started_ms,
         )
         await self._shared_store.store.put(Topic.TARGETS, target.name, data)
-        self._shared_store.note_change(Topic.TARGETS)
+        self._shared_store.notify_change(Topic.TARGETS)
 
     async def _send_requests(self, kind: Kind) -> None:
         loop = asyncio.get_running_loop()
@@ -236,14 +236,14 @@
         caller = Caller(
             kind=kind,
             route=self._routes[kind.name],
-            workspace=self._pick_workspace(),
+            workspace=self._sample_workspace(),
             request=self._request_sampler.sample_request(kind),
             hosts=self._hosts,
             generator=self._generator,
         )
         self.day.outcomes.append(await caller.run())
 
-    def _pick_workspace(self) -> Workspace:
+    def _sample_workspace(self) -> Workspace:
         names = list(self._workspace_weights)
         weights = [
             weight
@@ -263,9 +263,9 @@
         self._shared_store.cut_hosts.difference_update(host.name for host in cut)
 
     async def _slow_store(self, fault: Fault) -> None:
-        self._shared_store.slowness = fault.factor
+        self._shared_store.delay_factor = fault.factor
         await asyncio.sleep(fault.for_s)
-        self._shared_store.slowness = 1.0
+        self._shared_store.delay_factor = 1.0
 
     async def _kill_hosts(self, fault: Fault) -> None:
         loses_power = fault.kind is FaultKind.POWER_LOST
@@ -285,7 +285,7 @@
         for engine in crashed:
             engine.restart()
 
-    async def _repeat_crashing(self, fault: Fault) -> None:
+    async def _repeat_crashing_request(self, fault: Fault) -> None:
         """Send the same request repeatedly, each time from a new caller."""
         kind = next(kind for kind in self._scenario.kinds if kind.own_tokens)
         self._crashing_request = self._request_sampler.sample_request(kind)
@@ -307,7 +307,7 @@
         # The outcome is not counted.
         await caller.run()
 
-    def _crash_if_crashing(
+    def _crash_if_crashing_request(
         self, request: CallerRequest, engine: EmulatedEngine
     ) -> None:
         if request is self._crashing_request:
@@ -322,12 +322,12 @@
         await asyncio.sleep(CRASH_RESTART_S)
         engine.restart()
 
-    async def _burst_traffic(self, fault: Fault) -> None:
+    async def _raise_traffic(self, fault: Fault) -> None:
         self._traffic_factor = fault.factor
         await asyncio.sleep(fault.for_s)
         self._traffic_factor = 1.0
 
-    async def _heat_workspace(self, fault: Fault) -> None:
+    async def _raise_workspace_traffic(self, fault: Fault) -> None:
         self._hot_workspace = next(iter(self._workspace_weights))
         self._hot_workspace_factor = fault.factor
         await asyncio.sleep(fault.for_s)
@@ -354,9 +354,9 @@
     FaultKind.HOSTS_KILLED: World._kill_hosts,
     FaultKind.POWER_LOST: World._kill_hosts,
     FaultKind.ENGINES_CRASHED: World._crash_engines,
-    FaultKind.BURST: World._burst_traffic,
-    FaultKind.HOT_WORKSPACE: World._heat_workspace,
-    FaultKind.CRASHING_REQUEST: World._repeat_crashing,
+    FaultKind.BURST: World._raise_traffic,
+    FaultKind.HOT_WORKSPACE: World._raise_workspace_traffic,
+    FaultKind.CRASHING_REQUEST: World._repeat_crashing_request,
 }
 
 
--- a/bench/trials/budget_ways.py
+++ b/bench/trials/budget_ways.py
@@ -28,8 +28,8 @@
 HOSTS_LOST_AT_S = 34.0
 N_HOSTS = 7
 N_SEEDS = 200
-FLAT_SHARE = 0.12
-FLAT_HORIZON_S = 8.0
+DEFAULT_STOCK_SHARE = 0.12
+STOCK_HORIZON_S = 8.0
 # Locked tokens become usable this long after the store was last reachable.
 LOCK_S = 3.2
 
@@ -41,7 +41,7 @@
     name: str
     n_stocks: int
     has_product_sizes: bool = False  # stock sizes as the product computes them
-    share: float = FLAT_SHARE
+    stock_share: float = DEFAULT_STOCK_SHARE
     proves_locked: bool = False
 
 
@@ -57,11 +57,11 @@
 
 
 STRATEGIES = (
-    Strategy(name="each request written to the store", n_stocks=1, share=0.0),
+    Strategy(name="each request written to the store", n_stocks=1, stock_share=0.0),
     Strategy(name="a stock at each host, 12% in all", n_stocks=N_HOSTS),
-    Strategy(name="a stock at each host, 12% each", n_stocks=N_HOSTS, share=0.84),
+    Strategy(name="a stock at each host, 12% each", n_stocks=N_HOSTS, stock_share=0.84),
     Strategy(name="one home, 12%", n_stocks=1),
-    Strategy(name="one home, 25%", n_stocks=1, share=0.25),
+    Strategy(name="one home, 25%", n_stocks=1, stock_share=0.25),
     Strategy(
         name="one home, shrinking, power lost", n_stocks=1, has_product_sizes=True
     ),
@@ -105,7 +105,7 @@
         left = self.free + sum(self._stocks)
         demand = REQUESTS_PER_S * MEAN_TOKENS
         if not self._strategy.has_product_sizes:
-            wanted = min(demand * FLAT_HORIZON_S, self._strategy.share * left)
+            wanted = min(demand * STOCK_HORIZON_S, self._strategy.stock_share * left)
             return StockTarget(ready=int(wanted / self._strategy.n_stocks), locked=0)
         state = StockState(
             prepaid=PREPAID_TOKENS,
--- a/tests/emulator/test_engine.py
+++ b/tests/emulator/test_engine.py
@@ -35,7 +35,7 @@
 
         async def main() -> Any:
             engine = EmulatedEngine(
-                name="engine-0", speed=EngineSpeed(**speed), slowness=1.0
+                name="engine-0", speed=EngineSpeed(**speed), duration_factor=1.0
             )
             return await use(engine)
 
