--- a/tests/emulator/__init__.py
+++ b/tests/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Test the emulator, and policies under the loads that it generates."""
+"""Test the emulator, and policies of the product on emulated days."""
