--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for the outside systems in tests and demos."""
+"""Local replacements for the outside systems, used by tests and the demo."""
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -1,4 +1,4 @@
-"""Run a stand-in by `python -m standins`."""
+"""Start a stand-in with `python -m standins`."""
 
 from standins.main import main
 
--- a/standins/common.py
+++ b/standins/common.py
@@ -1,4 +1,4 @@
-"""Share what the stand-ins have in common."""
+"""HTTP helpers shared by the stand-ins."""
 
 import asyncio
 import dataclasses
@@ -13,19 +13,21 @@
 ControlT = TypeVar("ControlT", bound=BaseModel)
 
 
-def answer_json(value: Any) -> web.Response:
-    """Return a data class as JSON."""
+def make_json_response(value: Any) -> web.Response:
+    """Return a JSON response with a data class's fields."""
     return web.json_response(dataclasses.asdict(value))
 
 
 def add_control(
-    app: web.Application, model: type[ControlT], take: Callable[[ControlT], None]
+    app: web.Application,
+    model: type[ControlT],
+    apply_control: Callable[[ControlT], None],
 ) -> None:
-    """Let tests order misbehaviour by POST /control."""
+    """Add POST /control, by which tests set limits and faults."""
 
     async def control(request: web.Request) -> web.Response:
         try:
-            take(model.model_validate_json(await request.read()))
+            apply_control(model.model_validate_json(await request.read()))
         except ValidationError as error:
             return web.Response(status=400, text=str(error))
         return web.json_response({"ok": True})
@@ -36,7 +38,7 @@
 async def serve_app(
     app: web.Application, *, name: str, address: str, port: int
 ) -> None:
-    """Serve until a signal comes; print the port that was taken."""
+    """Serve until SIGTERM or SIGINT; print the bound port to stderr."""
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.2)
     await runner.setup()
     await web.TCPSite(runner, address, port).start()
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""Show a small fleet at work: requests, a lost host, a retry, the accounts."""
+"""Demo of a small fleet: requests, the loss of a host, a retry, the accounts."""
 
 import asyncio
 import contextlib
@@ -16,7 +16,7 @@
     DemoError,
     DemoFleet,
     expect,
-    report,
+    print_step,
 )
 from standins.launcher import Launcher, LaunchError, wait_for
 
@@ -31,17 +31,17 @@
 
 @dataclass(kw_only=True, slots=True)
 class Demo:
-    """Tell what a caller sees while a host is lost, and check each step."""
+    """Run the demo's steps as a caller, and check and print the result of each."""
 
     fleet: DemoFleet
 
     async def run(self) -> None:
-        """Go through the account; raise DemoError at the first thing amiss."""
+        """Run all steps in order; raise DemoError at the first failed check."""
         await self.fleet.start()
         await self.fleet.publish_example()
         await self._send_briefings()
         await self._book_twice()
-        await self._lose_host()
+        await self._retry_after_host_loss()
         await self._check_accounts()
 
     async def _send_briefings(self) -> None:
@@ -56,7 +56,9 @@
             expect(
                 answer.is_whole_stream, f"not whole: {answer.status} {answer.body!r}"
             )
-        report("briefings", f"{N_BRIEFINGS} streamed at {len(hosts)} hosts, all whole")
+        print_step(
+            "briefings", f"{N_BRIEFINGS} streamed at {len(hosts)} hosts, all whole"
+        )
 
     async def _book_twice(self) -> None:
         first, *_, last = self.fleet.hosts.values()
@@ -68,12 +70,14 @@
         meter = await self.fleet.launcher.get_json(f"{self.fleet.service.url}/meter")
         effects = len(meter["effects"])
         expect(effects == 1, f"the booking service shows {effects} effects")
-        report("booking", f"same key at {first.name} and {last.name}: one effect")
+        print_step("booking", f"same key at {first.name} and {last.name}: one effect")
 
-    async def _lose_host(self) -> None:
+    async def _retry_after_host_loss(self) -> None:
         key = "briefing-of-the-day"
         n_seen = await self._break_stream(key)
-        report("host lost", f"{LOST_HOST} killed after {n_seen} of {MAX_TOKENS} chunks")
+        print_step(
+            "host lost", f"{LOST_HOST} killed after {n_seen} of {MAX_TOKENS} chunks"
+        )
         host = self.fleet.hosts[RETRY_HOST]
         started = time.monotonic()
         answer = await self.fleet.chat(host, key)
@@ -82,17 +86,17 @@
             answer = await self.fleet.chat(host, key)
         expect(answer.is_whole_stream, f"retry: {answer.status} {answer.body!r}")
         waited_s = time.monotonic() - started
-        report("retry", f"same key at {host.name}: whole after {waited_s:.1f} s")
+        print_step("retry", f"same key at {host.name}: whole after {waited_s:.1f} s")
 
     async def _break_stream(self, key: str) -> int:
-        """Kill a host in the middle of an answer; return the chunks seen."""
+        """Kill a host in the middle of an answer; return the number of chunks read."""
         n_seen = 0
         body = b""
         with contextlib.suppress(aiohttp.ClientError, OSError):
             async with self.fleet.post_chat(
                 self.fleet.hosts[LOST_HOST], key
             ) as response:
-                self.fleet.note_run(key, response)
+                self.fleet.record_run(key, response)
                 async for line in response.content:
                     body += line
                     n_seen += line.startswith(b"data: {")
@@ -105,24 +109,24 @@
 
     async def _check_accounts(self) -> None:
         await wait_for(self._is_lost_host_sealed, "the lost host's draws to be sealed")
-        executed = await self.fleet.wait_until_settled()
-        n_runs = sum(map(len, self.fleet.runs.values()))
-        report(
+        n_tokens = await self.fleet.wait_until_settled()
+        n_runs = sum(map(len, self.fleet.request_ids_by_key.values()))
+        print_step(
             "billed once",
-            f"{executed} tokens spent = the engines' meters by key "
-            f"({n_runs} runs of {len(self.fleet.runs)} keys)",
+            f"{n_tokens} tokens spent = the engines' meters by key "
+            f"({n_runs} runs of {len(self.fleet.request_ids_by_key)} keys)",
         )
-        budget = await self.fleet.get_budget(self.fleet.first_host())
+        budget = await self.fleet.get_budget(self.fleet.get_first_host())
         expect(budget is not None, "the budget is gone")
         if budget is not None:
-            report(
+            print_step(
                 "budget",
                 "paid {paid} = spent {spent} + held {held} + free {free}; "
                 "{doubtful} in doubt".format(**budget),
             )
 
     async def _is_lost_host_sealed(self) -> bool:
-        state = await self.fleet.get_json(self.fleet.first_host(), "/state")
+        state = await self.fleet.get_json(self.fleet.get_first_host(), "/state")
         lost = f"{LOST_HOST}-"
         return not any(
             draw["status"] == "open" and draw["holder"].startswith(lost)
@@ -132,7 +136,7 @@
 
 
 async def run_demo() -> int:
-    """Run the demo to its end or a signal and return the exit code."""
+    """Run the demo until it ends or a signal arrives, and return the exit code."""
     task = asyncio.current_task()
     loop = asyncio.get_running_loop()
     if task is not None:
--- a/standins/demo_fleet.py
+++ b/standins/demo_fleet.py
@@ -1,4 +1,4 @@
-"""Run the demo's fleet and keep what its callers saw."""
+"""Processes and HTTP calls of the demo's fleet."""
 
 import asyncio
 import hashlib
@@ -14,11 +14,11 @@
 
 from standins.launcher import Launcher, LaunchError, Running, wait_for
 
-EXAMPLE = Path(__file__).parent.parent / "examples" / "armor" / "config"
+EXAMPLE_FOLDER = Path(__file__).parent.parent / "examples" / "armor" / "config"
 WORKSPACE = "school-brest"
 BUDGET = "schools"
 MODEL = "assistant"
-HOSTS = {
+DATA_CENTERS_BY_HOST = {
     "brest-1": "brest",
     "brest-2": "brest",
     "quimper-1": "quimper",
@@ -32,12 +32,12 @@
 
 
 class DemoError(Exception):
-    """Report something that the demo expected and did not see."""
+    """Indicate that a check of the demo failed."""
 
 
 @dataclass(kw_only=True, slots=True)
 class Answer:
-    """Hold what a caller got to one request."""
+    """Describe the answer to one request as its caller received it."""
 
     status: int
     body: bytes
@@ -45,26 +45,26 @@
 
     @property
     def is_whole_stream(self) -> bool:
-        """Tell whether an event stream came to its explicit end."""
+        """Return whether the event stream ended with its end marker."""
         return self.status == HTTP_OK and self.body.endswith(END_OF_STREAM)
 
 
 @dataclass(kw_only=True, slots=True)
 class DemoFleet:
-    """Hold the processes, call the hosts and count by idempotency key."""
+    """Start the processes, call the hosts and count tokens by idempotency key."""
 
     launcher: Launcher
     secret: str = field(default_factory=lambda: secrets.token_urlsafe(24))
     hosts: dict[str, Running] = field(default_factory=dict)
     engines: list[Running] = field(default_factory=list)
     service: Running = field(init=False)
-    runs: dict[str, set[str]] = field(default_factory=dict)
+    request_ids_by_key: dict[str, set[str]] = field(default_factory=dict)
 
     async def start(self) -> None:
         """Start the stand-ins, then the hosts."""
         async with asyncio.TaskGroup() as group:
             log = group.create_task(self.launcher.start_standin("log", "log"))
-            listed = group.create_task(self.launcher.start_standin("hosts", "hosts"))
+            host_list = group.create_task(self.launcher.start_standin("hosts", "hosts"))
             service = group.create_task(
                 self.launcher.start_standin("booking", "service")
             )
@@ -81,27 +81,30 @@
                 group.create_task(
                     self.launcher.start_host(
                         name,
-                        place,
+                        data_center,
                         log_url=log.result().url,
-                        host_list_url=listed.result().url,
+                        host_list_url=host_list.result().url,
                     )
                 )
-                for name, place in HOSTS.items()
+                for name, data_center in DATA_CENTERS_BY_HOST.items()
             ]
         self.hosts = {task.result().name: task.result() for task in hosts}
-        data_centers = sorted(set(HOSTS.values()))
-        report(
+        data_centers = sorted(set(DATA_CENTERS_BY_HOST.values()))
+        print_step(
             "fleet",
-            f"{len(HOSTS)} hosts in {' and '.join(data_centers)}, "
+            f"{len(DATA_CENTERS_BY_HOST)} hosts in {' and '.join(data_centers)}, "
             f"{N_ENGINES} engines, a booking service, the log, the host list",
         )
 
     async def publish_example(self) -> None:
-        """Publish the example and wait until every host has it in force."""
+        """Publish the example and wait until every host has applied it."""
         started = time.monotonic()
-        files = {path.name: path.read_text() for path in sorted(EXAMPLE.glob("*.toml"))}
+        files = {
+            path.name: path.read_text()
+            for path in sorted(EXAMPLE_FOLDER.glob("*.toml"))
+        }
         files["90-demo.toml"] = self._make_override()
-        url = f"{self.first_host().operator_url}/config/publish"
+        url = f"{self.get_first_host().operator_url}/config/publish"
         revision = -1
         for name, content in files.items():
             verdict = await self.launcher.post_json(
@@ -117,14 +120,17 @@
             revision = verdict["revision"]
         await wait_for(lambda: self._is_ready(revision), "all hosts to be ready")
         duration_s = time.monotonic() - started
-        report(
+        print_step(
             "configuration",
-            f"{len(files)} files accepted, in force on {len(HOSTS)} hosts "
-            f"after {duration_s:.1f} s",
+            f"{len(files)} files accepted, in force on "
+            f"{len(DATA_CENTERS_BY_HOST)} hosts after {duration_s:.1f} s",
         )
 
     def _make_override(self) -> str:
-        """Return a later file that points the example at this machine."""
+        """Return a configuration file that sets the local addresses.
+
+        It sorts after the example's files, so its values override theirs.
+        """
         digest = hashlib.sha256(self.secret.encode()).hexdigest()
         lines = [f'[workspaces.{WORKSPACE}]\nkey_sha256 = ["{digest}"]']
         lines += [f'[services.booking]\nurls = ["{self.service.url}"]']
@@ -141,60 +147,63 @@
             known = await self.get_json(host, "/hosts")
             if sum(entry["live"] for entry in known) < len(self.hosts):
                 return False
-        budget = await self.get_budget(self.first_host())
+        budget = await self.get_budget(self.get_first_host())
         return budget is not None and budget["paid"] > 0
 
-    async def count_by_key(self) -> int:
-        """Return the engines' own count, each key by the dearest of its runs."""
+    async def count_tokens_by_key(self) -> int:
+        """Return the tokens that the engines counted.
+
+        A key that ran more than once counts with its most expensive run.
+        """
         tokens: dict[str, int] = {}
         for engine in self.engines:
             meter = await self.launcher.get_json(f"{engine.url}/meter")
             for run in meter["requests"]:
                 used = run["prompt_tokens"] + run["completion_tokens"]
                 tokens[run["request"]] = max(used, tokens.get(run["request"], 0))
-        known = set().union(*self.runs.values())
+        known = set().union(*self.request_ids_by_key.values())
         expect(set(tokens) <= known, "an engine ran what no caller asked for")
         return sum(
             max(tokens.get(request, 0) for request in requests)
-            for requests in self.runs.values()
+            for requests in self.request_ids_by_key.values()
         )
 
-    async def _is_settled(self, executed: int) -> bool:
+    async def _is_settled(self, n_tokens: int) -> bool:
         budgets = [await self.get_budget(host) for host in self.hosts.values()]
         return all(
             budget is not None
-            and budget["spent"] == executed
+            and budget["spent"] == n_tokens
             and budget["doubtful"] == 0
             and budget["paid"] == budget["spent"] + budget["held"] + budget["free"]
             for budget in budgets
         )
 
     async def wait_until_settled(self) -> int:
-        """Wait until every host shows what the engines ran; return the tokens."""
-        executed = await self.count_by_key()
+        """Wait until every host shows the engines' token count, and return it."""
+        n_tokens = await self.count_tokens_by_key()
         try:
-            await wait_for(lambda: self._is_settled(executed), "the spend to settle")
+            await wait_for(lambda: self._is_settled(n_tokens), "the spend to settle")
         except LaunchError as error:
             budgets = [await self.get_budget(host) for host in self.hosts.values()]
-            raise DemoError(f"{executed} executed by key, but {budgets}") from error
-        return executed
+            raise DemoError(f"{n_tokens} executed by key, but {budgets}") from error
+        return n_tokens
 
-    def first_host(self) -> Running:
-        """Return the first host that lives."""
+    def get_first_host(self) -> Running:
+        """Return the first running host."""
         return next(iter(self.hosts.values()))
 
     async def get_json(self, host: Running, path: str) -> Any:
-        """Return what a host's operators' interface answers."""
+        """Return the JSON at a path of a host's operator interface."""
         return await self.launcher.get_json(f"{host.operator_url}{path}")
 
     async def get_budget(self, host: Running) -> dict[str, Any] | None:
-        """Return the budget of the demo's workspace as one host shows it."""
+        """Return the budget of the demo's workspace as one host reports it."""
         budgets = await self.get_json(host, "/budgets")
         found = [item for item in budgets if item["name"] == BUDGET]
         return found[0] if found else None
 
     def post_chat(self, host: Running, key: str) -> Any:
-        """Open a streamed chat request under a key."""
+        """Send a streaming chat request with an idempotency key."""
         body = {
             "model": MODEL,
             "messages": [{"role": "user", "content": f"Draft the {key}."}],
@@ -211,13 +220,13 @@
         return {"Authorization": f"Bearer {self.secret}", "Idempotency-Key": key}
 
     async def chat(self, host: Running, key: str) -> Answer:
-        """Send a chat request and read its answer to the end."""
+        """Send a chat request and read the whole answer."""
         async with self.post_chat(host, key) as response:
-            self.note_run(key, response)
+            self.record_run(key, response)
             return await read_answer(response)
 
     async def book(self, host: Running, key: str) -> Answer:
-        """Confirm a booking under a key."""
+        """Confirm a booking with an idempotency key."""
         async with self.launcher.session.post(
             f"{host.caller_url}/services/booking/confirm",
             json={"strip": 7},
@@ -225,15 +234,15 @@
         ) as response:
             return await read_answer(response)
 
-    def note_run(self, key: str, response: aiohttp.ClientResponse) -> None:
-        """Keep the request that ran for a key."""
+    def record_run(self, key: str, response: aiohttp.ClientResponse) -> None:
+        """Record the id of a request that ran for a key."""
         request = response.headers.get("X-Request-Id", "")
         if request:
-            self.runs.setdefault(key, set()).add(request)
+            self.request_ids_by_key.setdefault(key, set()).add(request)
 
 
 async def read_answer(response: aiohttp.ClientResponse) -> Answer:
-    """Return a whole answer; a refusal carries its time to come back."""
+    """Read a whole answer; a refusal has the time to wait before a retry."""
     refused = response.status != HTTP_OK
     wait_s = float(response.headers.get("Retry-After", DEFAULT_RETRY_S))
     return Answer(
@@ -245,7 +254,7 @@
 
 def list_targets() -> Iterator[str]:
     """Yield the targets of the example in name order."""
-    for path in sorted(EXAMPLE.glob("*.toml")):
+    for path in sorted(EXAMPLE_FOLDER.glob("*.toml")):
         yield from sorted(tomllib.loads(path.read_text()).get("targets", {}))
 
 
@@ -255,6 +264,6 @@
         raise DemoError(message)
 
 
-def report(topic: str, text: str) -> None:
-    """Print one line of the account."""
-    print(f"  ok  {topic:<14} {text}", flush=True)
+def print_step(topic: str, message: str) -> None:
+    """Print the result of one step."""
+    print(f"  ok  {topic:<14} {message}", flush=True)
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,15 +1,15 @@
-"""Stand in for a model engine with its own meter of what it executed.
+"""Stand-in for a model engine that meters what it executes.
 
-POST /v1/chat/completions        streamed answer; one numbered chunk a token
-GET  /v1/requests/{id}           whether a request runs, ended or is unknown
-POST /v1/requests/{id}/cancel    end a request; says what it executed
+POST /v1/chat/completions        streamed answer; one numbered chunk per token
+GET  /v1/requests/{id}           whether a request runs, has ended or is unknown
+POST /v1/requests/{id}/cancel    end a request; returns what it executed
 POST /v1/fence                   refuse an incarnation up to a fencing number
-POST /v1/role                    serve or leave, from a configuration revision on
+POST /v1/role                    serve or leave, as of a configuration revision
 GET  /v1/health                  role, revision and whether orders are checked
-GET  /v1/load                    running requests, reported late
-GET  /v1/cache-events?from=N     stored and evicted prefix blocks, late, with gaps
-GET  /meter                      every request it executed and its watts over time
-POST /control                    JSON EngineControl: speed, limits and failures
+GET  /v1/load                    number of running requests, delayed
+GET  /v1/cache-events?from=N     stored and evicted prefix blocks, delayed, with gaps
+GET  /meter                      every executed request, and the watts over time
+POST /control                    JSON EngineControl: speed, limits and faults
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 
 from aiohttp import web
 
-from standins.common import add_control, answer_json
+from standins.common import add_control, make_json_response
 from standins.engine_cache import (
     BLOCK_TOKENS,
     BYTES_PER_TOKEN,
@@ -34,8 +34,8 @@
     FenceOrder,
     RoleOrder,
 )
-from standins.engine_prompts import PromptLane
-from standins.engine_words import make_event, make_word
+from standins.engine_prompts import PromptQueue
+from standins.engine_words import make_chunk, make_token
 
 STATUS_BUSY = 429
 STATUS_STALE = 409
@@ -51,17 +51,17 @@
         self, *, control: EngineControl, options: EngineOptions | None = None
     ) -> None:
         self.options = options or EngineOptions()
-        self._base = control
+        self._initial_control = control
         self.control = control
         self.meter = EngineMeter(
             idle_watts=self.options.idle_watts,
             watts_per_request=self.options.watts_per_request,
         )
         self._cache = PrefixCache(n_blocks=self.options.cache_blocks)
-        self._prompts = PromptLane()
-        self._by_id: dict[str, ExecutedRequest] = {}
-        self._cancelled: set[str] = set()
-        self._fences: dict[str, int] = {}
+        self._prompt_queue = PromptQueue()
+        self._requests_by_id: dict[str, ExecutedRequest] = {}
+        self._cancelled_ids: set[str] = set()
+        self._fencing_by_incarnation: dict[str, int] = {}
         self._role = RoleOrder(role="serving", revision=-1)
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -83,10 +83,10 @@
     def _set_control(self, control: EngineControl) -> None:
         fields = control.model_fields_set
         update = {name: getattr(control, name) for name in fields}
-        self.control = self._base.model_copy(update=update)
+        self.control = self._initial_control.model_copy(update=update)
 
     async def _answer_meter(self, request: web.Request) -> web.Response:
-        return answer_json(self.meter)
+        return make_json_response(self.meter)
 
     async def _answer_health(self, request: web.Request) -> web.Response:
         answer = {
@@ -97,9 +97,9 @@
         return web.json_response(answer)
 
     async def _answer_load(self, request: web.Request) -> web.Response:
-        moment = time.monotonic() - self.control.load_lag_s
+        measured_at = time.monotonic() - self.control.load_lag_s
         answer = {
-            "running": self.meter.count_running_at(moment),
+            "running": self.meter.count_running_at(measured_at),
             "lag_s": self.control.load_lag_s,
         }
         return web.json_response(answer)
@@ -120,13 +120,15 @@
 
     async def _fence(self, request: web.Request) -> web.Response:
         order = FenceOrder.model_validate_json(await request.read())
-        name = order.incarnation
+        incarnation = order.incarnation
         if self.options.checks_fencing:
-            self._fences[name] = max(order.fencing, self._fences.get(name, -1))
+            self._fencing_by_incarnation[incarnation] = max(
+                order.fencing, self._fencing_by_incarnation.get(incarnation, -1)
+            )
         active = sum(
-            done.ended is None
-            for done in self.meter.requests
-            if done.incarnation == name and done.fencing <= order.fencing
+            executed.ended is None
+            for executed in self.meter.requests
+            if executed.incarnation == incarnation and executed.fencing <= order.fencing
         )
         return web.json_response(
             {"checked": self.options.checks_fencing, "active": active}
@@ -139,42 +141,46 @@
         self._role = order
         return web.json_response({"checked": self.options.checks_fencing})
 
-    def _describe(self, name: str) -> web.Response:
-        done = self._by_id.get(name)
-        # An engine that remembers the name turns a late request away, so one
-        # that never came has ended too.
-        tombstone = not self.options.forgets_cancels and name in self._cancelled
+    def _answer_request_state(self, request_id: str) -> web.Response:
+        executed = self._requests_by_id.get(request_id)
+        # An engine that remembers cancelled ids refuses a request that arrives
+        # after its cancellation, so an unknown cancelled request counts as ended.
+        is_refused_late = (
+            not self.options.forgets_cancels and request_id in self._cancelled_ids
+        )
         answer = {
-            "state": done.state if done else "unknown",
-            "ended": done.ended is not None if done else tombstone,
+            "state": executed.state if executed else "unknown",
+            "ended": executed.ended is not None if executed else is_refused_late,
             "usage": {
-                "prompt_tokens": done.prompt_tokens if done else 0,
-                "completion_tokens": done.completion_tokens if done else 0,
+                "prompt_tokens": executed.prompt_tokens if executed else 0,
+                "completion_tokens": executed.completion_tokens if executed else 0,
             },
         }
         return web.json_response(answer)
 
     async def _answer_request(self, request: web.Request) -> web.Response:
-        return self._describe(request.match_info["id"])
+        return self._answer_request_state(request.match_info["id"])
 
     async def _cancel(self, request: web.Request) -> web.Response:
-        name = request.match_info["id"]
-        self._cancelled.add(name)
-        done = self._by_id.get(name)
+        request_id = request.match_info["id"]
+        self._cancelled_ids.add(request_id)
+        executed = self._requests_by_id.get(request_id)
         deadline = time.monotonic() + CANCEL_WAIT_S
-        while done and done.ended is None and time.monotonic() < deadline:
+        while executed and executed.ended is None and time.monotonic() < deadline:
             await asyncio.sleep(1.0 / self.control.tokens_per_s)
-        return self._describe(name)
+        return self._answer_request_state(request_id)
 
-    def _judge(self, done: ExecutedRequest) -> int | None:
+    def _find_refusal_status(self, executed: ExecutedRequest) -> int | None:
         if self.control.fail_fast:
             return STATUS_FAILED
-        if not self.options.forgets_cancels and done.request in self._cancelled:
+        if not self.options.forgets_cancels and executed.request in self._cancelled_ids:
             return STATUS_BUSY
         if self.options.checks_fencing:
-            if done.fencing <= self._fences.get(done.incarnation, -1):
+            if executed.fencing <= self._fencing_by_incarnation.get(
+                executed.incarnation, -1
+            ):
                 return STATUS_STALE
-            if done.revision < self._role.revision:
+            if executed.revision < self._role.revision:
                 return STATUS_STALE
             if self._role.role == "leaving":
                 return STATUS_LEAVING
@@ -185,36 +191,36 @@
     async def _complete(self, request: web.Request) -> web.StreamResponse:
         body = json.loads(await request.read())
         contents = [item["content"] for item in body["messages"]]
-        size = sum(len(content.encode()) for content in contents)
-        done = ExecutedRequest(
+        n_bytes = sum(len(content.encode()) for content in contents)
+        executed = ExecutedRequest(
             request=request.headers.get("X-Request-Id", ""),
             workspace=request.headers.get("X-Workspace", ""),
             incarnation=request.headers.get("X-Incarnation", ""),
             priority=int(request.headers.get("X-Priority", "0")),
-            prompt_tokens=-(-size // BYTES_PER_TOKEN),
+            prompt_tokens=-(-n_bytes // BYTES_PER_TOKEN),
             fencing=int(request.headers.get("X-Fencing", "0")),
             revision=int(request.headers.get("X-Revision", "0")),
             started=time.time(),
         )
-        status = self._judge(done)
+        status = self._find_refusal_status(executed)
         if status is not None:
             return web.Response(status=status)
         blocks = hash_prefixes(contents)
-        limit = int(body.get("max_tokens", 16))
-        self._by_id[done.request] = done
-        self.meter.start(done)
+        max_tokens = int(body.get("max_tokens", 16))
+        self._requests_by_id[executed.request] = executed
+        self.meter.start(executed)
         if self.control.fail_after_prompt:
-            done.state = "failed"
-            self.meter.end(done)
+            executed.state = "failed"
+            self.meter.end(executed)
             return web.Response(status=STATUS_FAILED)
-        events: asyncio.Queue[bytes | None] = asyncio.Queue()
-        task = asyncio.create_task(self._execute(done, blocks, limit, events))
+        chunks: asyncio.Queue[bytes | None] = asyncio.Queue()
+        task = asyncio.create_task(self._execute(executed, blocks, max_tokens, chunks))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         try:
-            return await self._stream(request, done, events)
+            return await self._stream(request, executed, chunks)
         except (asyncio.CancelledError, ConnectionError):
-            # Some engines notice that nobody reads, others run to the end.
+            # Some engines stop when the reader disconnects, others run to the end.
             if not self.control.keep_running:
                 task.cancel()
             raise
@@ -222,83 +228,83 @@
     async def _stream(
         self,
         request: web.Request,
-        done: ExecutedRequest,
-        events: asyncio.Queue[bytes | None],
+        executed: ExecutedRequest,
+        chunks: asyncio.Queue[bytes | None],
     ) -> web.StreamResponse:
         response = web.StreamResponse(headers={"Content-Type": "text/event-stream"})
         await response.prepare(request)
-        while (event := await events.get()) is not None:
-            await response.write(event)
+        while (chunk := await chunks.get()) is not None:
+            await response.write(chunk)
         aborts = self.control.break_after is not None
-        if done.state == "broken" and aborts and request.transport is not None:
+        if executed.state == "broken" and aborts and request.transport is not None:
             request.transport.abort()
-        if done.state == "finished":
+        if executed.state == "finished":
             await response.write(b"data: [DONE]\n\n")
         return response
 
     async def _execute(
         self,
-        done: ExecutedRequest,
+        executed: ExecutedRequest,
         blocks: list[str],
-        limit: int,
-        events: asyncio.Queue[bytes | None],
+        max_tokens: int,
+        chunks: asyncio.Queue[bytes | None],
     ) -> None:
         try:
-            await self._read_prompt(done, blocks)
-            last = await self._write_tokens(done, limit, events)
+            await self._read_prompt(executed, blocks)
+            last_chunk = await self._write_tokens(executed, max_tokens, chunks)
         except asyncio.CancelledError:
-            done.state = "dropped"
+            executed.state = "dropped"
             raise
         finally:
-            self.meter.end(done)
-        if last is not None:
-            events.put_nowait(last)
-        events.put_nowait(None)
+            self.meter.end(executed)
+        if last_chunk is not None:
+            chunks.put_nowait(last_chunk)
+        chunks.put_nowait(None)
 
-    async def _read_prompt(self, done: ExecutedRequest, blocks: list[str]) -> None:
-        await self._prompts.enter(done.priority)
+    async def _read_prompt(self, executed: ExecutedRequest, blocks: list[str]) -> None:
+        await self._prompt_queue.acquire(executed.priority)
         try:
-            n_cached = self._cache.take(blocks) * BLOCK_TOKENS
-            done.cached_tokens = min(n_cached, done.prompt_tokens)
-            n_new = done.prompt_tokens - done.cached_tokens
+            n_cached = self._cache.use_blocks(blocks) * BLOCK_TOKENS
+            executed.cached_tokens = min(n_cached, executed.prompt_tokens)
+            n_new = executed.prompt_tokens - executed.cached_tokens
             await asyncio.sleep(n_new / self.control.prompt_tokens_per_s)
         finally:
-            self._prompts.leave()
+            self._prompt_queue.release()
 
     async def _write_tokens(
         self,
-        done: ExecutedRequest,
-        limit: int,
-        events: asyncio.Queue[bytes | None],
+        executed: ExecutedRequest,
+        max_tokens: int,
+        chunks: asyncio.Queue[bytes | None],
     ) -> bytes | None:
         digest = hashlib.sha256()
-        late = b""
-        for number in range(limit):
-            if done.request in self._cancelled:
-                done.state = "cancelled"
+        delayed_chunk = b""
+        for number in range(max_tokens):
+            if executed.request in self._cancelled_ids:
+                executed.state = "cancelled"
                 return None
             if number in (self.control.close_at, self.control.break_after):
-                done.state = "broken"
+                executed.state = "broken"
                 return None
-            text = make_word(done.request, number)
-            done.completion_tokens += 1
-            done.first_token = done.first_token or time.time()
+            text = make_token(executed.request, number)
+            executed.completion_tokens += 1
+            executed.first_token = executed.first_token or time.time()
             self.meter.tokens += 1
             digest.update(text.encode())
-            last = number + 1 == limit
-            if last:
-                done.state = "finished"
-                done.text_digest = digest.hexdigest()
-            event = make_event(done, number, text, last=last)
+            is_last = number + 1 == max_tokens
+            if is_last:
+                executed.state = "finished"
+                executed.text_digest = digest.hexdigest()
+            chunk = make_chunk(executed, number, text, is_last=is_last)
             if self.control.foreign_at == number:
-                event = event.replace(done.request.encode(), b"another-request")
-            if last:
-                return event + late
+                chunk = chunk.replace(executed.request.encode(), b"another-request")
+            if is_last:
+                return chunk + delayed_chunk
             if self.control.reorder_at == number:
-                late = event
+                delayed_chunk = chunk
                 continue
-            events.put_nowait(event + late)
-            late = b""
+            chunks.put_nowait(chunk + delayed_chunk)
+            delayed_chunk = b""
             slowdown = 1.0 + self.control.batch_slowdown * (self.meter.running - 1)
             await asyncio.sleep(slowdown / self.control.tokens_per_s)
         return None
--- a/standins/engine_meter.py
+++ b/standins/engine_meter.py
@@ -1,4 +1,4 @@
-"""Meter what an engine stand-in executes and the power that it draws."""
+"""Meter of an engine stand-in's executed requests and power."""
 
 import time
 from bisect import bisect_right
@@ -7,7 +7,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class ExecutedRequest:
-    """Hold what the engine really did for one request."""
+    """Describe what the engine executed for one request."""
 
     request: str
     workspace: str
@@ -27,7 +27,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PowerChange:
-    """Hold the draw from a moment on; the monotonic clock is the machine's."""
+    """Describe the power as of a time.
+
+    The time is on the machine's monotonic clock, which all processes share.
+    """
 
     at: float
     watts: int
@@ -36,7 +39,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class EngineMeter:
-    """Hold everything executed, by order of arrival, and the power drawn."""
+    """Record all executed requests, in order of arrival, and the power over time."""
 
     idle_watts: int = 0
     watts_per_request: int = 0
@@ -49,29 +52,29 @@
     timeline: list[PowerChange] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        """Start the time line with the idle draw."""
-        self._note_power()
+        """Start the timeline with the idle power."""
+        self._record_power()
 
-    def start(self, done: ExecutedRequest) -> None:
-        """Count a request from its acceptance on."""
-        self.requests.append(done)
-        self.tokens += done.prompt_tokens
+    def start(self, executed: ExecutedRequest) -> None:
+        """Count an accepted request as running."""
+        self.requests.append(executed)
+        self.tokens += executed.prompt_tokens
         self.running += 1
         self.max_running = max(self.max_running, self.running)
-        self._note_power()
+        self._record_power()
 
-    def end(self, done: ExecutedRequest) -> None:
-        """Count a request no longer; call it before the end is told to anyone."""
-        done.ended = time.time()
+    def end(self, executed: ExecutedRequest) -> None:
+        """Count a request as ended; call this before its end is reported."""
+        executed.ended = time.time()
         self.running -= 1
-        self._note_power()
+        self._record_power()
 
     def count_running_at(self, moment: float) -> int:
-        """Return the running requests at a past moment."""
-        place = bisect_right(self.timeline, moment, key=lambda change: change.at)
-        return self.timeline[place - 1].running if place else 0
+        """Return the number of requests that were running at a past time."""
+        position = bisect_right(self.timeline, moment, key=lambda change: change.at)
+        return self.timeline[position - 1].running if position else 0
 
-    def _note_power(self) -> None:
+    def _record_power(self) -> None:
         self.watts = self.idle_watts + self.watts_per_request * self.running
         self.max_watts = max(self.max_watts, self.watts)
         change = PowerChange(
--- a/standins/engine_models.py
+++ b/standins/engine_models.py
@@ -1,10 +1,10 @@
-"""Define what an engine stand-in is ordered to do."""
+"""Settings of an engine stand-in and the orders that it receives."""
 
 from pydantic import BaseModel, Field
 
 
 class EngineControl(BaseModel):
-    """Order the engine's speed, limits and faults."""
+    """Set the engine's speed, limits and faults."""
 
     tokens_per_s: float = Field(default=200.0, gt=0)
     prompt_tokens_per_s: float = Field(default=20_000.0, gt=0)
@@ -23,7 +23,7 @@
 
 
 class EngineOptions(BaseModel):
-    """Fix what an engine is for its whole life."""
+    """Describe the properties of an engine that don't change while it runs."""
 
     idle_watts: int = 0
     watts_per_request: int = 0
@@ -33,14 +33,14 @@
 
 
 class FenceOrder(BaseModel):
-    """Refuse an incarnation's requests up to a fencing number."""
+    """Order the engine to refuse an incarnation up to a fencing number."""
 
     incarnation: str
     fencing: int
 
 
 class RoleOrder(BaseModel):
-    """Change the role from a configuration revision on."""
+    """Order the engine to change its role as of a configuration revision."""
 
     role: str
     revision: int
--- a/standins/engine_prompts.py
+++ b/standins/engine_prompts.py
@@ -1,11 +1,11 @@
-"""Let an engine stand-in read one prompt at a time, by priority."""
+"""Priority queue for the prompt processing of an engine stand-in."""
 
 import asyncio
 import heapq
 import itertools
 
 
-class PromptLane:
+class PromptQueue:
     """Admit one request at a time, the highest priority first."""
 
     def __init__(self) -> None:
@@ -13,8 +13,8 @@
         self._numbers = itertools.count()
         self._waiting: list[tuple[int, int, asyncio.Future[None]]] = []
 
-    async def enter(self, priority: int) -> None:
-        """Wait for the lane; leave() gives it to the next."""
+    async def acquire(self, priority: int) -> None:
+        """Wait until this request may process its prompt; call release() after it."""
         if not self._busy:
             self._busy = True
             return
@@ -24,11 +24,11 @@
             await turn
         except asyncio.CancelledError:
             if turn.done() and not turn.cancelled():
-                self.leave()
+                self.release()
             raise
 
-    def leave(self) -> None:
-        """Give the lane to the next one that still waits."""
+    def release(self) -> None:
+        """Admit the next request that still waits."""
         while self._waiting:
             _, _, turn = heapq.heappop(self._waiting)
             if not turn.done():
--- a/standins/keyed_store.py
+++ b/standins/keyed_store.py
@@ -1,4 +1,4 @@
-"""Stand in for a store of keyed topics, in memory, with its faults."""
+"""In-memory stand-in for the store of keyed topics, with fault injection."""
 
 import random
 from collections import defaultdict
@@ -16,10 +16,10 @@
 
 @dataclass(kw_only=True, slots=True)
 class Partition:
-    """Hold the records of one partition and where the kept ones begin."""
+    """Describe the records of one partition and the first offset still readable."""
 
     records: list[KeyedRecord] = field(default_factory=list)
-    first_kept: int = 0
+    first_kept_offset: int = 0
 
     @property
     def end_offset(self) -> int:
@@ -27,39 +27,39 @@
         return len(self.records)
 
     def list_newest(self) -> list[KeyedRecord]:
-        """Return the newest record of each key that was not dropped."""
+        """Return the newest record of each key that was not deleted."""
         newest = {record.key: record for record in self.records}
         return [record for record in newest.values() if record.value is not None]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class LateWrite:
-    """Hold a write whose answer was lost and that may still land."""
+class DelayedWrite:
+    """Describe a write that was not acknowledged and may still be applied."""
 
     topic: Topic
     key: str
     value: bytes | None
     partition: int
-    at: int | None
+    expected_offset: int | None
 
 
 @dataclass(kw_only=True, slots=True)
 class KeyedStore:
-    """Keep keyed topics; refuse calls, lose answers and land writes late."""
+    """Store keyed topics; can refuse calls, lose replies and delay writes."""
 
     down: bool = False
     refuse_share: float = 0.0
     lose_share: float = 0.0
     late_share: float = 0.0
     generator: random.Random = field(default_factory=lambda: random.Random(1))
-    late: list[LateWrite] = field(default_factory=list)
+    late: list[DelayedWrite] = field(default_factory=list)
     partitions: dict[tuple[Topic, int], Partition] = field(
         default_factory=lambda: defaultdict(Partition)
     )
 
     async def list_newest(self, topic: Topic, partition: int = 0) -> Listing:
         """Return the newest record of each key."""
-        self._fail()
+        self._check_available()
         found = self.partitions[topic, partition]
         return Listing(records=found.list_newest(), end_offset=found.end_offset)
 
@@ -67,9 +67,9 @@
         self, topic: Topic, offset: int, wait_s: float, partition: int = 0
     ) -> Listing:
         """Return the records from an offset on."""
-        self._fail()
+        self._check_available()
         found = self.partitions[topic, partition]
-        if offset < found.first_kept:
+        if offset < found.first_kept_offset:
             raise OffsetExpiredError(str(offset))
         return Listing(records=found.records[offset:], end_offset=found.end_offset)
 
@@ -82,25 +82,34 @@
         partition: int = 0,
         at: int | None = None,
     ) -> int | None:
-        """Write a key and return its offset, None if the topic didn't end at `at`."""
-        self._fail()
-        write = LateWrite(topic=topic, key=key, value=value, partition=partition, at=at)
+        """Write a key and return its offset.
+
+        Return None, with nothing written, if `at` is given and is not the
+        partition's end offset.
+        """
+        self._check_available()
+        write = DelayedWrite(
+            topic=topic, key=key, value=value, partition=partition, expected_offset=at
+        )
         if self.generator.random() < self.late_share:
             self.late.append(write)
-            raise StoreUnavailableError("no answer, may land late")
+            raise StoreUnavailableError("no reply; the write may be applied later")
         offset = self._apply(write)
         if self.generator.random() < self.lose_share:
-            raise StoreUnavailableError("answer lost")
+            raise StoreUnavailableError("the reply to an applied write was lost")
         return offset
 
     def land(self) -> None:
-        """Carry out one late write, if its condition still holds."""
+        """Apply one delayed write if its expected offset still matches."""
         if self.late:
             self._apply(self.late.pop(self.generator.randrange(len(self.late))))
 
-    def _apply(self, write: LateWrite) -> int | None:
+    def _apply(self, write: DelayedWrite) -> int | None:
         found = self.partitions[write.topic, write.partition]
-        if write.at is not None and write.at != found.end_offset:
+        if (
+            write.expected_offset is not None
+            and write.expected_offset != found.end_offset
+        ):
             return None
         offset = found.end_offset
         found.records.append(
@@ -108,8 +117,8 @@
         )
         return offset
 
-    def _fail(self) -> None:
+    def _check_available(self) -> None:
         if self.down:
-            raise StoreUnavailableError("down")
+            raise StoreUnavailableError("the store is down")
         if self.generator.random() < self.refuse_share:
             raise StoreRefusedError("status 503")
--- a/standins/launcher.py
+++ b/standins/launcher.py
@@ -1,4 +1,4 @@
-"""Start a fleet with its stand-ins as processes on loopback, and end them."""
+"""Start and stop a fleet and its stand-ins as processes on loopback."""
 
 import asyncio
 import contextlib
@@ -21,12 +21,12 @@
 
 
 class LaunchError(Exception):
-    """Report a process that did not come up, or a condition that never held."""
+    """Indicate that a process did not start or a condition was not met in time."""
 
 
 @dataclass(kw_only=True, slots=True, eq=False)
 class Running:
-    """Hold a started process and the lines it wrote."""
+    """Describe a started process, its ports and the lines that it wrote."""
 
     name: str
     process: asyncio.subprocess.Process
@@ -37,26 +37,26 @@
 
     @property
     def url(self) -> str:
-        """Return the address of a stand-in."""
+        """Return the URL of a stand-in."""
         return f"http://{self.address}:{self.ports['port']}"
 
     @property
     def caller_url(self) -> str:
-        """Return where a host serves callers."""
+        """Return the URL of a host's caller interface."""
         return f"http://{self.address}:{self.ports['caller_port']}"
 
     @property
     def operator_url(self) -> str:
-        """Return where a host serves operators."""
+        """Return the URL of a host's operator interface."""
         return f"http://{self.address}:{self.ports['operator_port']}"
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to this process alone."""
+        """Send a signal to this process only."""
         self.process.send_signal(number)
 
 
 class Launcher:
-    """Own every process of one fleet."""
+    """Start the processes of one fleet, and kill those that still run at exit."""
 
     def __init__(self) -> None:
         self.running: dict[str, Running] = {}
@@ -73,13 +73,13 @@
         self._folder.cleanup()
 
     async def start_standin(self, name: str, kind: str, *options: str) -> Running:
-        """Start a stand-in and wait for its port."""
+        """Start a stand-in and wait until it has printed its port."""
         return await self._start(name, "standins", kind, *options)
 
     async def start_host(
         self, name: str, data_center: str, *, log_url: str, **extra: object
     ) -> Running:
-        """Start a host and wait for its ports."""
+        """Start a host and wait until it has printed its ports."""
         settings = {
             "host": name,
             "data_center": data_center,
@@ -112,11 +112,11 @@
         if not running.ports:
             await running.reader
             last_lines = "\n".join(running.lines[-N_LAST_LINES:])
-            raise LaunchError(f"{name} ended at its start:\n{last_lines}")
+            raise LaunchError(f"{name} exited during startup:\n{last_lines}")
         return running
 
     async def kill(self, name: str) -> None:
-        """End a process at once."""
+        """Kill a process with SIGKILL and wait until it has exited."""
         running = self.running.pop(name)
         with contextlib.suppress(ProcessLookupError):
             running.process.kill()
@@ -125,7 +125,7 @@
             await running.reader
 
     async def stop(self, name: str, timeout_s: float = STOP_TIMEOUT_S) -> int:
-        """Ask a process to end and return its exit code."""
+        """Terminate a process with SIGTERM and return its exit code."""
         running = self.running[name]
         running.process.terminate()
         code = await asyncio.wait_for(running.process.wait(), timeout_s)
@@ -133,7 +133,7 @@
         return code
 
     async def get_json(self, url: str) -> Any:
-        """Return the JSON at an address."""
+        """Return the JSON at a URL."""
         async with self.session.get(url) as response:
             return await response.json()
 
@@ -144,7 +144,7 @@
 
 
 async def read_lines(running: Running) -> None:
-    """Keep a process's lines and note the ports that it names."""
+    """Collect a process's stderr lines, and the ports from the first that has any."""
     stream = running.process.stderr
     if stream is None:
         return
@@ -169,9 +169,12 @@
 
 
 async def wait_for(
-    condition: Any, what: str, timeout_s: float = CONDITION_TIMEOUT_S
+    condition: Any, description: str, timeout_s: float = CONDITION_TIMEOUT_S
 ) -> None:
-    """Wait until a condition holds; the condition may be a coroutine function."""
+    """Wait until a condition is true; it may be a coroutine function.
+
+    Raise LaunchError after the timeout.
+    """
     loop = asyncio.get_running_loop()
     deadline = loop.time() + timeout_s
     while True:
@@ -181,5 +184,7 @@
         if result:
             return
         if loop.time() >= deadline:
-            raise LaunchError(f"waited {timeout_s} s for {what}")
+            raise LaunchError(
+                f"timed out after {timeout_s} s waiting for {description}"
+            )
         await asyncio.sleep(POLL_S)
--- a/standins/log.py
+++ b/standins/log.py
@@ -1,12 +1,12 @@
-"""Stand in for the platform's append-only log.
+"""Stand-in for the platform's append-only log.
 
 POST /streams/{stream}/records   CBOR list of byte strings -> {"first": offset}
 GET  /streams/{stream}/records?from=N&wait_ms=M
                                  -> {"records": [[offset, bytes]], "earliest", "next"}
                                  410 with "earliest" when N has expired
-POST /control                    JSON LogControl: orders outages, slowness, lost
-                                 answers, retention
-GET  /meter                      JSON: appends, records and bytes taken
+POST /control                    JSON LogControl: outages, delays, lost replies,
+                                 retention
+GET  /meter                      JSON: counts of appends, records, bytes and reads
 """
 
 import asyncio
@@ -19,19 +19,19 @@
 from aiohttp import web
 from pydantic import BaseModel, Field
 
-from standins.common import add_control, answer_json
+from standins.common import add_control, make_json_response
 
-MAX_PAGE = 1000
+MAX_PAGE_RECORDS = 1000
 MAX_PAGE_BYTES = 2_000_000
 MAX_RECORD_BYTES = 1_000_000
 DEFAULT_APPENDS_PER_S = 400.0
-BURST = 50.0
+BURST_APPENDS = 50.0
 STATUS_UNAVAILABLE = 503
 STATUS_GONE = 410
 
 
 class LogControl(BaseModel):
-    """Order the log to misbehave."""
+    """Set the log's faults, retention and append rate."""
 
     down: bool = False
     delay_s: float = Field(default=0.0, ge=0.0)
@@ -42,7 +42,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class StreamStore:
-    """Hold one stream's records within retention."""
+    """Store one stream's records up to the retention limit."""
 
     records: deque[bytes] = field(default_factory=deque)
     earliest: int = 0
@@ -50,11 +50,11 @@
 
     @property
     def next(self) -> int:
-        """Return the offset that the next record gets."""
+        """Return the offset of the next record."""
         return self.earliest + len(self.records)
 
     def append(self, data: list[bytes], retention: int | None) -> int:
-        """Add records, expire old ones and return the first offset."""
+        """Append records, expire old ones and return the first new offset."""
         first = self.next
         self.records.extend(data)
         while retention is not None and len(self.records) > retention:
@@ -65,10 +65,10 @@
         return first
 
     def read(self, start: int) -> list[tuple[int, bytes]]:
-        """Return a page of records from an offset on."""
+        """Return a page of records, starting at an offset."""
         page: list[tuple[int, bytes]] = []
         size = 0
-        stop = min(self.next, start + MAX_PAGE)
+        stop = min(self.next, start + MAX_PAGE_RECORDS)
         for offset in range(start, stop):
             data = self.records[offset - self.earliest]
             size += len(data)
@@ -80,7 +80,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class LogMeter:
-    """Count what the log took."""
+    """Count the log's appends and reads."""
 
     appends: int = 0
     records: int = 0
@@ -95,8 +95,8 @@
         self.control = LogControl(retention=retention)
         self.meter = LogMeter()
         self._streams: dict[str, StreamStore] = defaultdict(StreamStore)
-        self._allowance = BURST
-        self._refilled = time.monotonic()
+        self._append_credit = BURST_APPENDS
+        self._refilled_at = time.monotonic()
 
     def make_app(self) -> web.Application:
         """Return the HTTP application."""
@@ -111,7 +111,7 @@
         self.control = control
 
     async def _answer_meter(self, request: web.Request) -> web.Response:
-        return answer_json(self.meter)
+        return make_json_response(self.meter)
 
     async def _append(self, request: web.Request) -> web.Response:
         data = cbor2.loads(await request.read())
@@ -119,8 +119,8 @@
             isinstance(item, bytes) and len(item) <= MAX_RECORD_BYTES for item in data
         ):
             return web.Response(status=400)
-        await self._misbehave()
-        await self._wait_for_allowance()
+        await self._apply_faults()
+        await self._wait_for_credit()
         store = self._streams[request.match_info["stream"]]
         first = store.append(data, self.control.retention)
         self.meter.appends += 1
@@ -137,7 +137,7 @@
         return web.Response(status=STATUS_UNAVAILABLE)
 
     async def _read(self, request: web.Request) -> web.Response:
-        await self._misbehave()
+        await self._apply_faults()
         self.meter.reads += 1
         store = self._streams[request.match_info["stream"]]
         start = int(request.query.get("from", "0"))
@@ -145,7 +145,7 @@
         if start >= store.next and wait_s > 0:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(store.changed.wait(), wait_s)
-            await self._misbehave()
+            await self._apply_faults()
         if start < store.earliest:
             body = cbor2.dumps({"earliest": store.earliest, "next": store.next})
             return web.Response(status=STATUS_GONE, body=body)
@@ -156,19 +156,21 @@
         }
         return web.Response(body=cbor2.dumps(answer))
 
-    async def _misbehave(self) -> None:
+    async def _apply_faults(self) -> None:
         if self.control.delay_s > 0:
             await asyncio.sleep(self.control.delay_s)
         if self.control.down:
             raise web.HTTPServiceUnavailable
 
-    async def _wait_for_allowance(self) -> None:
+    async def _wait_for_credit(self) -> None:
         while True:
             now = time.monotonic()
-            gained = (now - self._refilled) * self.control.appends_per_s
-            self._allowance = min(BURST, self._allowance + gained)
-            self._refilled = now
-            if self._allowance >= 1.0:
-                self._allowance -= 1.0
+            gained = (now - self._refilled_at) * self.control.appends_per_s
+            self._append_credit = min(BURST_APPENDS, self._append_credit + gained)
+            self._refilled_at = now
+            if self._append_credit >= 1.0:
+                self._append_credit -= 1.0
                 return
-            await asyncio.sleep((1.0 - self._allowance) / self.control.appends_per_s)
+            await asyncio.sleep(
+                (1.0 - self._append_credit) / self.control.appends_per_s
+            )
--- a/standins/main.py
+++ b/standins/main.py
@@ -1,4 +1,4 @@
-"""Run one stand-in as a process of its own."""
+"""Command line that runs one stand-in as a process."""
 
 import asyncio
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 @cappa.command(name="log")
 @dataclass(kw_only=True)
 class LogCommand:
-    """Run the platform log's stand-in."""
+    """Run the stand-in for the platform's log."""
 
     port: Annotated[int, cappa.Arg(long=True)] = 0
     retention: Annotated[int | None, cappa.Arg(long=True)] = None
@@ -33,7 +33,7 @@
 @cappa.command(name="hosts")
 @dataclass(kw_only=True)
 class HostsCommand:
-    """Run the stand-in of the platform's list of hosts."""
+    """Run the stand-in for the platform's list of hosts."""
 
     port: Annotated[int, cappa.Arg(long=True)] = 0
     lag_s: Annotated[float, cappa.Arg(long=True)] = 1.0
@@ -49,7 +49,7 @@
 @cappa.command(name="engine")
 @dataclass(kw_only=True)
 class EngineCommand:
-    """Run a model engine's stand-in."""
+    """Run the stand-in for a model engine."""
 
     port: Annotated[int, cappa.Arg(long=True)] = 0
     tokens_per_s: Annotated[float, cappa.Arg(long=True)] = 200.0
@@ -86,7 +86,7 @@
 @cappa.command(name="service")
 @dataclass(kw_only=True)
 class ServiceCommand:
-    """Run a plain service's stand-in."""
+    """Run the stand-in for a plain HTTP service."""
 
     port: Annotated[int, cappa.Arg(long=True)] = 0
 
@@ -99,7 +99,7 @@
 @cappa.command(name="trefoilstage-standin")
 @dataclass(kw_only=True)
 class Standin:
-    """Run a stand-in for an outside system."""
+    """Run one of the stand-ins for outside systems."""
 
     command: cappa.Subcommands[
         LogCommand | HostsCommand | EngineCommand | ServiceCommand
@@ -107,5 +107,5 @@
 
 
 def main() -> None:
-    """Start a stand-in from the command line."""
+    """Parse the command line and run a stand-in."""
     cappa.invoke(Standin)
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's store and its targets, over HTTP."""
+"""Stand-ins for the platform's store and targets, served over HTTP."""
 
 import asyncio
 import base64
@@ -21,7 +21,7 @@
 
 
 async def serve(app: web.Application, port: int = 0) -> tuple[web.AppRunner, int]:
-    """Serve an application, on a port of the kernel's choice if none is named."""
+    """Serve an application and return its port; 0 lets the kernel choose one."""
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
     await runner.setup()
     await web.TCPSite(runner, LOOPBACK, port).start()
@@ -29,12 +29,12 @@
     return runner, bound
 
 
-class StoreDoor:
-    """Serve a shared store to one host, which can be turned away alone."""
+class StoreServer:
+    """Serve a shared store to one host; can refuse this host's calls alone."""
 
     def __init__(self, *, store: KeyedStore) -> None:
         self._store = store
-        self.refuses = False
+        self.is_refusing = False
 
     def make_app(self) -> web.Application:
         """Return the HTTP application."""
@@ -44,13 +44,13 @@
         app.router.add_post("/trefoilstage/log-append", self._append)
         return app
 
-    def _find(self, request: web.Request) -> tuple[Topic, int]:
-        if self.refuses:
+    def _parse_partition(self, request: web.Request) -> tuple[Topic, int]:
+        if self.is_refusing:
             raise web.HTTPServiceUnavailable
         return TOPICS_BY_NAME[request.query["topic"]], int(request.query["part"])
 
     async def _list_newest(self, request: web.Request) -> web.Response:
-        topic, part = self._find(request)
+        topic, part = self._parse_partition(request)
         listing = await self._store.list_newest(topic, part)
         items = [
             {
@@ -63,14 +63,16 @@
         return web.json_response({"items": items, "end_offset": listing.end_offset})
 
     async def _read(self, request: web.Request) -> web.Response:
-        topic, part = self._find(request)
+        topic, part = self._parse_partition(request)
         offset = int(request.query["from"])
-        ends = asyncio.get_running_loop().time() + int(request.query["wait_ms"]) / 1000
+        deadline = (
+            asyncio.get_running_loop().time() + int(request.query["wait_ms"]) / 1000
+        )
         records: list[KeyedRecord] = []
         while not records:
-            self._find(request)
+            self._parse_partition(request)
             records = (await self._store.read(topic, offset, 0, part)).records
-            if asyncio.get_running_loop().time() >= ends:
+            if asyncio.get_running_loop().time() >= deadline:
                 break
             await asyncio.sleep(READ_POLL_S)
         body = b"".join(encode_record(item.key, item.value) for item in records)
@@ -78,15 +80,15 @@
         return web.Response(body=head + body)
 
     async def _append(self, request: web.Request) -> web.Response:
-        topic, part = self._find(request)
+        topic, part = self._parse_partition(request)
         record = decode_content((await request.read())[4:], 0)
-        at = request.query.get("at")
+        expected_offset = request.query.get("at")
         offset = await self._store.put(
             topic,
             record.key,
             record.value,
             partition=part,
-            at=None if at is None else int(at),
+            at=None if expected_offset is None else int(expected_offset),
         )
         if offset is None:
             return web.json_response({"end_offset": 0}, status=412)
@@ -95,7 +97,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class TargetRun:
-    """Hold what a target has run; the tests' oracle."""
+    """Describe one request that a target ran; tests compare against it."""
 
     request: str
     tenant: str
@@ -107,17 +109,18 @@
 
 @dataclass(kw_only=True, slots=True)
 class PlatformTarget:
-    """Run requests, and fail in the way the test sets."""
+    """Run requests and inject the faults that the test sets."""
 
     name: str
     n_events: int = 4
-    event_s: float = 0.0
-    break_after: int | None = None  # events, upon which a first run is reset
-    refuse: bool = False  # says that it did not run the request
-    fail: bool = False  # runs it and answers 500
-    unframed_reset: bool = False  # answers without a length and resets midway
-    crashes_on: bytes | None = None  # the body of a request that ends it
-    crash: Callable[[], Awaitable[None]] | None = None  # end and start again
+    event_interval_s: float = 0.0
+    # Number of events after which a stream that isn't resumed is reset.
+    break_after: int | None = None
+    refuse: bool = False  # answers 503 with Not-Executed
+    fail: bool = False  # runs the request and answers 500
+    unframed_reset: bool = False  # answers without a length, resets midway
+    crashes_on: bytes | None = None  # request body that crashes the target
+    crash: Callable[[], Awaitable[None]] | None = None  # stops and restarts it
     stop: asyncio.Event = field(default_factory=asyncio.Event)
     runs: list[TargetRun] = field(default_factory=list)
 
@@ -143,7 +146,7 @@
         headers = {"Attempt-Id": run.request, "Response-Seal": f"{self.name}.seal"}
         if self.crash is not None and body == self.crashes_on:
             await self.crash()
-            await self.stop.wait()  # until the server is gone
+            await self.stop.wait()  # until the server is stopped
         if self.fail:
             return web.Response(status=500, headers=headers, body=b"failed")
         if self.unframed_reset:
@@ -161,17 +164,17 @@
         )
         await response.prepare(request)
         for number in range(run.resumed_after + 1, self.n_events + 1):
-            breaks = self.break_after is not None and run.resumed_after == 0
-            if breaks and number > (self.break_after or 0):
-                # Torn within an event, as a crash does.
+            is_breaking = self.break_after is not None and run.resumed_after == 0
+            if is_breaking and number > (self.break_after or 0):
+                # A crash cuts the stream in the middle of an event.
                 await response.write(b"id: 9")
-                abort(request)
+                reset_request(request)
                 return response
             if request.transport is None or request.transport.is_closing():
                 return response
             await response.write(f"id: {number}\ndata: {number}\n\n".encode())
             run.events += 1
-            await asyncio.sleep(self.event_s)
+            await asyncio.sleep(self.event_interval_s)
         run.ended = True
         return response
 
@@ -183,25 +186,25 @@
         if request.transport is not None:
             request.transport.write(f"HTTP/1.1 200 OK\r\n{head}\r\nhalf".encode())
             await asyncio.sleep(0.05)
-            abort(request)
+            reset_request(request)
         return response
 
 
-def abort(request: web.Request) -> None:
-    """Reset a request's connection; a plain close would look like an end."""
+def reset_request(request: web.Request) -> None:
+    """Reset a request's connection; a normal close would look like a complete end."""
     if request.transport is not None:
-        reset(request.transport)
+        reset_connection(request.transport)
 
 
-def reset(transport: asyncio.Transport) -> None:
-    """Reset a connection."""
+def reset_connection(transport: asyncio.Transport) -> None:
+    """Close a connection with a TCP reset instead of a FIN."""
     connection = transport.get_extra_info("socket")
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     transport.abort()
 
 
 def encode_configuration(version: int, *, prepaid: int, service: str = "llm") -> bytes:
-    """Return a configuration with a route of each kind."""
+    """Return an encoded configuration with a route of each kind."""
 
     def make_route(name: str, kind: str, **more: object) -> dict[str, object]:
         route: dict[str, object] = {
@@ -238,9 +241,9 @@
     state: str = "ready",
     service: str = "llm",
     sequence: int = 1,
-    started_ms: int = 1_000,
+    started_at_ms: int = 1_000,
 ) -> bytes:
-    """Return a target's entry."""
+    """Return a target's encoded entry."""
     entry = {
         "service": service,
         "address": f"{LOOPBACK}:{port}",
@@ -250,6 +253,6 @@
         "state": state,
         "cold_remaining_ms": 0,
         "sequence": sequence,
-        "born": started_ms,
+        "born": started_at_ms,
     }
     return json.dumps(entry).encode()
--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -1,4 +1,4 @@
-"""Stand between two parties and inject faults into their TCP connections."""
+"""TCP proxy that injects faults into the connections to an upstream."""
 
 import asyncio
 import contextlib
@@ -11,11 +11,11 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class Rule:
-    """Say what happens to the connections of one source address.
+class FaultRule:
+    """Set the faults for connections from one source address.
 
-    Held bytes are kept and flow on when the rule is lifted, as TCP would send
-    them again after a cut.
+    Held bytes are forwarded when the rule is removed, as TCP would retransmit
+    them after a network partition.
     """
 
     hold_requests: bool = False
@@ -28,13 +28,13 @@
 
 @dataclass(kw_only=True, slots=True, eq=False)
 class FaultProxy:
-    """Forward connections to one upstream under rules by source address."""
+    """Forward connections to one upstream, with a fault rule per source address."""
 
     upstream_address: str = LOOPBACK
     upstream_port: int = 0
     port: int = 0
     n_bytes: int = 0
-    rules: dict[str, Rule] = field(default_factory=lambda: defaultdict(Rule))
+    rules: dict[str, FaultRule] = field(default_factory=lambda: defaultdict(FaultRule))
     _server: asyncio.Server | None = None
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
@@ -45,11 +45,11 @@
 
     @property
     def is_listening(self) -> bool:
-        """Tell whether the proxy takes connections."""
+        """Return whether the proxy accepts connections."""
         return self._server is not None and self._server.is_serving()
 
     async def start(self) -> None:
-        """Listen on a port from the kernel, or again on the one it had."""
+        """Listen on a port chosen by the kernel, or on the previous one again."""
         self._server = await asyncio.start_server(self._serve, LOOPBACK, self.port)
         self.port = self._server.sockets[0].getsockname()[1]
 
@@ -62,15 +62,15 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def cut(self, *sources: str) -> None:
-        """Hold everything from and to the given sources."""
+        """Hold all data from and to the given sources."""
         for source in sources:
             self.rules[source].hold_requests = True
             self.rules[source].hold_answers = True
 
     def heal(self, *sources: str) -> None:
-        """Lift every rule of the given sources, of all without any."""
+        """Remove the rules of the given sources, or all rules if none is given."""
         for source in sources or list(self.rules):
-            self.rules[source] = Rule()
+            self.rules[source] = FaultRule()
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -91,49 +91,50 @@
             writer.transport.abort()
             return
         try:
-            # Only stop() cancels; the stream server would log that as an error.
+            # Only stop() cancels this task; asyncio's server would log the
+            # cancellation as an error.
             with contextlib.suppress(asyncio.CancelledError):
                 await asyncio.gather(
-                    self._pump(reader, up_writer, source, answers=False),
-                    self._pump(up_reader, writer, source, answers=True),
+                    self._forward(reader, up_writer, source, is_reply=False),
+                    self._forward(up_reader, writer, source, is_reply=True),
                 )
         finally:
             writer.transport.abort()
             up_writer.transport.abort()
 
-    async def _pump(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         source: str,
         *,
-        answers: bool,
+        is_reply: bool,
     ) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(CHUNK_BYTES):
                 self.n_bytes += len(data)
-                await self._wait_while_held(source, answers=answers)
+                await self._wait_while_held(source, is_reply=is_reply)
                 rule = self.rules[source]
-                if answers and rule.lose_answers > 0:
+                if is_reply and rule.lose_answers > 0:
                     rule.lose_answers -= 1
                     break
                 if rule.delay_s:
                     await asyncio.sleep(rule.delay_s)
                 writer.write(data)
                 await writer.drain()
-        if answers:
+        if is_reply:
             writer.close()
         elif writer.can_write_eof():
             with contextlib.suppress(OSError):
                 writer.write_eof()
 
-    async def _wait_while_held(self, source: str, *, answers: bool) -> None:
-        noted: Rule | None = None
+    async def _wait_while_held(self, source: str, *, is_reply: bool) -> None:
+        counted_rule: FaultRule | None = None
         while True:
             rule = self.rules[source]
-            if not (rule.hold_answers if answers else rule.hold_requests):
+            if not (rule.hold_answers if is_reply else rule.hold_requests):
                 return
-            if rule is not noted:
-                noted = rule
+            if rule is not counted_rule:
+                counted_rule = rule
                 rule.n_held += 1
             await asyncio.sleep(POLL_S)
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,9 +1,9 @@
-"""Stand in for a plain service, with a meter of its effects.
+"""Stand-in for a plain HTTP service that records its effects.
 
-ANY  /{path}                     take effect once more and answer with its number
-GET  /meter                      every effect, the tests' oracle
-POST /control                    JSON ServiceControl: delay, answers lost after effect,
-                                 refusals without effect, size of answers
+ANY  /{path}                     record one more effect and answer with its number
+GET  /meter                      all effects; tests compare against them
+POST /control                    JSON ServiceControl: delay, replies lost after the
+                                 effect, refusals without effect, size of answers
 """
 
 import asyncio
@@ -12,11 +12,11 @@
 from aiohttp import web
 from pydantic import BaseModel, Field
 
-from standins.common import add_control, answer_json
+from standins.common import add_control, make_json_response
 
 
 class ServiceControl(BaseModel):
-    """Order the service's speed and faults."""
+    """Set the service's delay, faults and answer size."""
 
     delay_s: float = Field(default=0.0, ge=0)
     lose_answers: int = Field(default=0, ge=0)
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Effect:
-    """Hold one effect of the service."""
+    """Describe one call that took effect."""
 
     path: str
     workspace: str
@@ -36,7 +36,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class ServiceMeter:
-    """Hold every effect in order."""
+    """Record all effects in order, and the number of refused calls."""
 
     effects: list[Effect] = field(default_factory=list)
     n_refused: int = 0
@@ -54,16 +54,16 @@
         app = web.Application()
         app.router.add_get("/meter", self._answer_meter)
         add_control(app, ServiceControl, self._set_control)
-        app.router.add_route("*", "/{path:.*}", self._take_effect)
+        app.router.add_route("*", "/{path:.*}", self._run_effect)
         return app
 
     def _set_control(self, control: ServiceControl) -> None:
         self.control = control
 
     async def _answer_meter(self, request: web.Request) -> web.Response:
-        return answer_json(self.meter)
+        return make_json_response(self.meter)
 
-    async def _take_effect(self, request: web.Request) -> web.Response:
+    async def _run_effect(self, request: web.Request) -> web.Response:
         body = (await request.read()).decode(errors="replace")
         if self.control.refuse_status is not None:
             self.meter.n_refused += 1
--- a/tests/promises/crashing.py
+++ b/tests/promises/crashing.py
@@ -4,7 +4,7 @@
 
 from aiohttp import web
 
-from standins.platform import PlatformTarget, reset, serve
+from standins.platform import PlatformTarget, reset_connection, serve
 from tests.promises.fleet import PlatformFleet
 from trefoilstage.components.views.store import Topic
 
@@ -55,7 +55,9 @@
         await runner.cleanup()
         await asyncio.sleep(AWAY_S)
         old = fleet.targets[number]
-        target = PlatformTarget(name=f"{old.name}+", event_s=old.event_s, runs=old.runs)
+        target = PlatformTarget(
+            name=f"{old.name}+", event_interval_s=old.event_interval_s, runs=old.runs
+        )
         self._runners[number], _ = await serve(target.make_app(), fleet.ports[number])
         fleet.runners.append(self._runners[number])
         fleet.targets[number] = target
@@ -69,4 +71,4 @@
     assert runner.server is not None
     for connection in runner.server.connections:
         if connection.transport is not None:
-            reset(connection.transport)
+            reset_connection(connection.transport)
--- a/tests/promises/fleet.py
+++ b/tests/promises/fleet.py
@@ -19,7 +19,7 @@
 from standins.platform import (
     LOOPBACK,
     PlatformTarget,
-    StoreDoor,
+    StoreServer,
     encode_configuration,
     encode_target,
     serve,
@@ -42,7 +42,7 @@
     """Hold a running host and what it has logged."""
 
     name: str
-    door: StoreDoor
+    door: StoreServer
     process: asyncio.subprocess.Process
     caller_port: int = 0
     ready_port: int = 0
@@ -175,7 +175,7 @@
 
     async def start_host(self, name: str) -> HostProcess:
         """Start a host and wait until it is ready and knows the targets."""
-        door = StoreDoor(store=self.store)
+        door = StoreServer(store=self.store)
         runner, port = await serve(door.make_app())
         self.runners.append(runner)
         if self.use_proxies:
--- a/tests/promises/test_crashes.py
+++ b/tests/promises/test_crashes.py
@@ -89,7 +89,7 @@
         """Guard against crashes that only a host without the store knows of."""
         async with PlatformFleet(n_hosts=2, n_targets=4) as fleet:
             targets = CrashingTargets(fleet=fleet)
-            fleet.hosts["host-1"].door.refuses = True
+            fleet.hosts["host-1"].door.is_refusing = True
             for _ in range(3):
                 await fleet.call("/look/x", host="host-1", body=CRASHING_BODY)
                 await asyncio.sleep(AWAY_S)
@@ -115,7 +115,7 @@
         async with PlatformFleet(n_hosts=1, n_targets=4) as fleet:
             targets = CrashingTargets(fleet=fleet)
             for target in fleet.targets:
-                target.event_s = 0.2
+                target.event_interval_s = 0.2
             for _ in range(N_CUTS):
                 cut = asyncio.create_task(fleet.call("/stream/x", body=b"sound"))
                 other = asyncio.create_task(fleet.call("/stream/x", body=b"other"))
--- a/tests/promises/test_forwarding.py
+++ b/tests/promises/test_forwarding.py
@@ -142,7 +142,7 @@
         """Close the caller's connection after the first event of a long stream."""
         async with PlatformFleet() as fleet:
             for target in fleet.targets:
-                target.n_events, target.event_s = 1_000, 0.02
+                target.n_events, target.event_interval_s = 1_000, 0.02
             call = asyncio.create_task(fleet.call("/stream/x"))
             await wait_for(lambda: fleet.count_runs() == 1, "the run")
             call.cancel()
@@ -192,7 +192,7 @@
         """
         async with PlatformFleet(n_hosts=2, prepaid=150) as fleet:
             for target in fleet.targets:
-                target.event_s = 0.2
+                target.event_interval_s = 0.2
             answers = await asyncio.gather(
                 *(fleet.call("/stream/x", attempt="same") for _ in range(2))
             )
@@ -218,7 +218,7 @@
         """
         async with PlatformFleet() as fleet:
             for target in fleet.targets:
-                target.event_s = 0.3
+                target.event_interval_s = 0.3
             call = asyncio.create_task(fleet.call("/stream/x"))
             await wait_for(lambda: fleet.count_runs() == 1, "the run")
             host = fleet.hosts["host-0"]
@@ -242,7 +242,7 @@
         """
         async with PlatformFleet() as fleet:
             for target in fleet.targets:
-                target.event_s = 1.2
+                target.event_interval_s = 1.2
             stream = asyncio.create_task(fleet.call("/stream/x"))
             await wait_for(lambda: fleet.count_runs() == 1, "the run")
             host = fleet.hosts["host-0"]
@@ -267,7 +267,7 @@
         """
         async with PlatformFleet() as fleet:
             for target in fleet.targets:
-                target.event_s = 0.9
+                target.event_interval_s = 0.9
             host = fleet.hosts["host-0"]
             answer = await self.stop_under_stream(fleet)
             self.assertEqual((answer.whole, answer.body), (True, EVENTS))
@@ -291,7 +291,7 @@
         """
         async with PlatformFleet(grace_s=3) as fleet:
             for target in fleet.targets:
-                target.event_s = 1.2
+                target.event_interval_s = 1.2
             host = fleet.hosts["host-0"]
             answer = await self.stop_under_stream(fleet)
             self.assertFalse(answer.whole)
@@ -313,7 +313,7 @@
         """
         async with PlatformFleet(n_hosts=2) as fleet:
             cut = fleet.hosts["host-1"]
-            cut.door.refuses = True
+            cut.door.is_refusing = True
             await wait_for(lambda: cut.has_logged("store_out_of_reach"), "the cut")
             await fleet.configure(2)
             await fleet.list_target(0, state="draining")
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -6,11 +6,18 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 
-from standins.proxy import Rule
+from standins.proxy import FaultRule
 from tests.promises.fleet import PlatformFleet
 
 N_HARMS = 5
-HARMS = ("break_after", "break_after", "refuse", "fail", "event_s", "unframed_reset")
+HARMS = (
+    "break_after",
+    "break_after",
+    "refuse",
+    "fail",
+    "event_interval_s",
+    "unframed_reset",
+)
 Fault = Callable[[], Awaitable[None]]
 
 
@@ -97,7 +104,7 @@
             host.process.send_signal(signal.SIGCONT)
             self.stopped.discard(name)
 
-    async def _apply(self, rule: Rule, longest_s: float) -> None:
+    async def _apply(self, rule: FaultRule, longest_s: float) -> None:
         proxy = self.fleet.proxies[self.generator.choice(sorted(self.fleet.proxies))]
         proxy.rules["127.0.0.1"] = rule
         await self._wait(longest_s)
@@ -105,26 +112,26 @@
 
     async def _cut_from_store(self) -> None:
         one_way = self.generator.random() < 0.5
-        await self._apply(Rule(hold_answers=True, hold_requests=not one_way), 3.0)
+        await self._apply(FaultRule(hold_answers=True, hold_requests=not one_way), 3.0)
 
     async def _lose_store_answers(self) -> None:
-        await self._apply(Rule(lose_answers=self.generator.randrange(1, 6)), 1.0)
+        await self._apply(FaultRule(lose_answers=self.generator.randrange(1, 6)), 1.0)
 
     async def _slow_store(self) -> None:
-        await self._apply(Rule(delay_s=self.generator.uniform(0.05, 0.5)), 2.0)
+        await self._apply(FaultRule(delay_s=self.generator.uniform(0.05, 0.5)), 2.0)
 
     async def _lose_store(self) -> None:
         doors = [host.door for host in self.fleet.hosts.values()]
         for door in doors:
-            door.refuses = True
+            door.is_refusing = True
         await self._wait(3.0)
         for door in doors:
-            door.refuses = False
+            door.is_refusing = False
 
     async def _harm_target(self) -> None:
         target = self.generator.choice(self.fleet.targets)
         harm = self.generator.choice(HARMS)
-        value = {"break_after": 2, "event_s": 0.3}.get(harm, True)
+        value = {"break_after": 2, "event_interval_s": 0.3}.get(harm, True)
         usual = getattr(target, harm)
         setattr(target, harm, value)
         await self._wait(2.0)
