--- a/tests/promises/__init__.py
+++ b/tests/promises/__init__.py
@@ -1,1 +1,1 @@
-"""Provide the promises package."""
+"""Tests of the guarantees to callers and operators, with real processes."""
--- a/tests/promises/crashing.py
+++ b/tests/promises/crashing.py
@@ -1,4 +1,4 @@
-"""Let targets crash when they run one request, and come back under a new name."""
+"""Targets that crash when they run one request and restart under a new name."""
 
 import asyncio
 
@@ -9,11 +9,11 @@
 from trefoilstage.components.views.store import Topic
 
 CRASHING_BODY = b'{"crashes": true}'
-AWAY_S = 0.3
+RESTART_DELAY_S = 0.3
 
 
 class CrashingTargets:
-    """End a fleet's targets under one request and start them again."""
+    """Crash a fleet's targets when they run one request, and restart them."""
 
     def __init__(self, *, fleet: PlatformFleet) -> None:
         self._fleet = fleet
@@ -23,17 +23,17 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self.n_crashes = 0
         for number, target in enumerate(fleet.targets):
-            self._arm(number, target)
+            self._set_crash(number, target)
 
     async def crash_all(self) -> None:
-        """End every target at once, whatever it runs."""
+        """Crash all targets at the same time, whatever they run."""
         await asyncio.gather(*(self._crash(number) for number in self._runners))
 
-    async def settle(self) -> None:
-        """Wait until every target is back."""
+    async def wait_until_restarted(self) -> None:
+        """Wait until all crashed targets are restarted."""
         await asyncio.gather(*self._tasks)
 
-    def _arm(self, number: int, target: PlatformTarget) -> None:
+    def _set_crash(self, number: int, target: PlatformTarget) -> None:
         async def crash() -> None:
             self.n_crashes += 1
             await self._crash(number)
@@ -45,15 +45,15 @@
         runner = self._runners[number]
         for site in list(runner.sites):
             await site.stop()
-        end_connections(runner)
-        task = asyncio.create_task(self._start_again(number, runner))
+        reset_connections(runner)
+        task = asyncio.create_task(self._restart(number, runner))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _start_again(self, number: int, runner: web.AppRunner) -> None:
+    async def _restart(self, number: int, runner: web.AppRunner) -> None:
         fleet = self._fleet
         await runner.cleanup()
-        await asyncio.sleep(AWAY_S)
+        await asyncio.sleep(RESTART_DELAY_S)
         old = fleet.targets[number]
         target = PlatformTarget(
             name=f"{old.name}+", event_interval_s=old.event_interval_s, runs=old.runs
@@ -61,13 +61,13 @@
         self._runners[number], _ = await serve(target.make_app(), fleet.ports[number])
         fleet.runners.append(self._runners[number])
         fleet.targets[number] = target
-        self._arm(number, target)
+        self._set_crash(number, target)
         await fleet.store.put(Topic.TARGETS, old.name, None)
-        await fleet.list_target(number)
+        await fleet.write_target(number)
 
 
-def end_connections(runner: web.AppRunner) -> None:
-    """Reset every connection of a server, as its process ends."""
+def reset_connections(runner: web.AppRunner) -> None:
+    """Reset every connection of a server, as the end of its process does."""
     assert runner.server is not None
     for connection in runner.server.connections:
         if connection.transport is not None:
--- a/tests/promises/fleet.py
+++ b/tests/promises/fleet.py
@@ -1,4 +1,4 @@
-"""Start forwarding hosts as processes before stand-ins of the platform."""
+"""Fleet of forwarding hosts, as processes, with stand-ins for the platform."""
 
 import asyncio
 import os
@@ -29,9 +29,9 @@
 from trefoilstage.components.views.store import Topic
 from trefoilstage.util.stalls import StallWatch
 
-# Budgets of this size are not what a test is about.
-WARM_PREPAID = 1_000_000
-OK = 200
+# A test with a smaller budget tests the budget, so it gets no warm-up requests.
+MIN_WARM_UP_PREPAID_TOKENS = 1_000_000
+HTTP_OK = 200
 N_CALLS_KEPT = 1_000
 STALL_CHECK_S = 0.05
 ROOT = Path(__file__).parent.parent.parent
@@ -39,10 +39,10 @@
 
 @dataclass(kw_only=True, slots=True)
 class HostProcess:
-    """Hold a running host and what it has logged."""
+    """Describe a running host and its log lines."""
 
     name: str
-    door: StoreServer
+    store_server: StoreServer
     process: asyncio.subprocess.Process
     caller_port: int = 0
     ready_port: int = 0
@@ -50,22 +50,22 @@
     reader: asyncio.Task[None] | None = None
 
     async def read_lines(self) -> None:
-        """Gather what the host logs."""
+        """Collect the host's log lines until it exits."""
         assert self.process.stdout is not None
         async for line in self.process.stdout:
             self.lines.append(line.decode().rstrip())
 
     def has_logged(self, *texts: str) -> bool:
-        """Tell whether one line holds all texts."""
+        """Return whether one log line contains all texts."""
         return any(all(text in line for text in texts) for line in self.lines)
 
     def list_times(self, text: str) -> list[float]:
-        """Return when the lines that hold a text were logged, in seconds."""
+        """Return the times, in seconds, of the log lines that contain a text."""
         lines = [line for line in self.lines if text in line]
         return [float(line.split()[0].partition("=")[2]) for line in lines]
 
     def find_port(self, name: str) -> int:
-        """Return a port that the host has logged, 0 before that."""
+        """Return a port that the host has logged, or 0 if it has not."""
         for line in self.lines:
             for word in line.split():
                 if word.startswith(f"{name}="):
@@ -75,17 +75,20 @@
 
 @dataclass(kw_only=True, slots=True)
 class FleetAnswer:
-    """Hold what a caller got; `whole` tells whether its end was seen."""
+    """Describe an answer as its caller received it.
+
+    `is_whole` is false if the connection broke before the end of the answer.
+    """
 
     status: int
     body: bytes
     headers: dict[str, str]
-    whole: bool
+    is_whole: bool
 
 
 @dataclass(kw_only=True, slots=True)
 class PlatformFleet:
-    """Own hosts, targets and the store of one test."""
+    """Run the hosts, the targets and the store of one test."""
 
     n_hosts: int = 1
     n_targets: int = 2
@@ -100,83 +103,84 @@
         default_factory=tempfile.TemporaryDirectory
     )
     n_requests: int = 0
-    # The newest calls with their times, by the clock that the hosts log.
-    calls: deque[str] = field(default_factory=lambda: deque(maxlen=N_CALLS_KEPT))
-    watcher: asyncio.Task[None] = field(init=False)
-    # Put a fault-injecting proxy between each host and the store.
+    # The newest calls, with times of the same clock as in the hosts' logs.
+    recent_calls: deque[str] = field(default_factory=lambda: deque(maxlen=N_CALLS_KEPT))
+    stall_watcher: asyncio.Task[None] = field(init=False)
+    # Whether there is a fault-injecting proxy between each host and the store.
     use_proxies: bool = False
     proxies: dict[str, FaultProxy] = field(default_factory=dict)
 
     async def _watch_stalls(self) -> None:
-        """Note when this process, with the callers and targets, stood still."""
+        """Record stalls of this process, in which the callers and targets run."""
         watch = StallWatch(interval_s=STALL_CHECK_S)
         while True:
             stall = watch.note_tick(time.monotonic(), time.process_time())
             if stall is not None:
-                self.calls.append(f"{time.time():.6f} {stall}")
+                self.recent_calls.append(f"{time.time():.6f} {stall}")
             await asyncio.sleep(STALL_CHECK_S)
 
     async def __aenter__(self) -> Self:
-        # unittest runs its loop in debug mode, which keeps a stack for each task and
-        # handle. The targets, the store and the callers run on that loop: beside busy
-        # processes a target's events came up to 1 s late and passed the caller's limit.
+        # unittest runs its loop in debug mode, which records a stack for each task and
+        # handle. The targets, the store and the callers run on this loop: on a busy
+        # machine a target's events were up to 1 s late and exceeded the caller's limit.
         asyncio.get_running_loop().set_debug(False)
-        self.watcher = asyncio.create_task(self._watch_stalls())
+        self.stall_watcher = asyncio.create_task(self._watch_stalls())
         for number in range(self.n_targets):
             target = PlatformTarget(name=f"i-{number}")
             runner, port = await serve(target.make_app())
             self.runners.append(runner)
             self.targets.append(target)
             self.ports.append(port)
-            await self.list_target(number)
-        await self.configure(1)
+            await self.write_target(number)
+        await self.write_configuration(1)
         await asyncio.gather(
             *(self.start_host(f"host-{number}") for number in range(self.n_hosts))
         )
-        if self.n_hosts == 1 and self.prepaid >= WARM_PREPAID:
-            await self.warm_up()
+        if self.n_hosts == 1 and self.prepaid >= MIN_WARM_UP_PREPAID_TOKENS:
+            await self.wait_for_grants()
         return self
 
-    async def warm_up(self) -> None:
-        """Wait until tokens are held for the host's requests.
+    async def wait_for_grants(self) -> None:
+        """Send requests until the host has tokens to hold for them.
 
-        A lone host is its own home, and names itself as one that gets grants only
-        when it first asks; on a busy machine that takes longer than a request waits.
+        A single host is its own home, and adds itself to those that get grants only
+        when it first asks for one. On a busy machine that takes longer than a request
+        waits.
         """
-        while (await self.call("/stream/x")).status != OK:
+        while (await self.call("/stream/x")).status != HTTP_OK:
             pass
         for target in self.targets:
             target.runs.clear()
         self.n_requests = 0
 
     async def __aexit__(self, kind: type[BaseException] | None, *_: object) -> None:
-        self.watcher.cancel()
+        self.stall_watcher.cancel()
         hosts = list(self.hosts.values())
         for host in hosts:
             await self.kill(host.name)
         if kind is not None:
             lines = {host.name: host.lines for host in hosts}
-            keep_lines({**lines, "callers": list(self.calls)})
+            keep_lines({**lines, "callers": list(self.recent_calls)})
         for proxy in self.proxies.values():
             await proxy.stop()
         for runner in self.runners:
             await runner.cleanup()
         self.folder.cleanup()
 
-    async def list_target(self, number: int, *, state: str = "ready") -> None:
-        """Write a target's entry."""
+    async def write_target(self, number: int, *, state: str = "ready") -> None:
+        """Write a target's entry to the store."""
         value = encode_target(self.ports[number], state=state)
         await self.store.put(Topic.TARGETS, self.targets[number].name, value)
 
-    async def configure(self, version: int) -> None:
-        """Write a configuration."""
+    async def write_configuration(self, version: int) -> None:
+        """Write a version of the configuration to the store."""
         value = encode_configuration(version, prepaid=self.prepaid)
         await self.store.put(Topic.CONFIGURATION, "config", value)
 
     async def start_host(self, name: str) -> HostProcess:
-        """Start a host and wait until it is ready and knows the targets."""
-        door = StoreServer(store=self.store)
-        runner, port = await serve(door.make_app())
+        """Start a host and wait until it is ready and has listed all targets."""
+        store_server = StoreServer(store=self.store)
+        runner, port = await serve(store_server.make_app())
         self.runners.append(runner)
         if self.use_proxies:
             port = await self._put_proxy(name, port)
@@ -195,7 +199,7 @@
             env={**os.environ, "TREFOILSTAGE_CONFIG": str(path)},
             cwd=ROOT,
         )
-        host = HostProcess(name=name, door=door, process=process)
+        host = HostProcess(name=name, store_server=store_server, process=process)
         host.reader = asyncio.create_task(host.read_lines())
         self.hosts[name] = host
         await wait_for(
@@ -218,7 +222,7 @@
         return proxy.port
 
     async def kill(self, name: str) -> None:
-        """Kill a host and wait for its end."""
+        """Kill a host with SIGKILL and wait until it has exited."""
         host = self.hosts.pop(name)
         if host.process.returncode is None:
             host.process.send_signal(signal.SIGKILL)
@@ -237,19 +241,19 @@
         attempt: str = "",
         body: bytes = b"{}",
     ) -> FleetAnswer:
-        """Send a request as a caller does, with a key and an id of its own."""
+        """Send a request as a caller does, with an API key and an attempt id."""
         self.n_requests += 1
         number, began = self.n_requests, time.time()
         outcome = "no answer"
         try:
             answer = await self._call(path, host, method, tokens, key, attempt, body)
-            outcome = f"{answer.status} whole={answer.whole}"
+            outcome = f"{answer.status} whole={answer.is_whole}"
             return answer
         except aiohttp.ClientError as error:
             outcome = repr(error)
             raise
         finally:
-            self.calls.append(
+            self.recent_calls.append(
                 f"attempt-{number} {method} {path} {host} began={began:.6f} "
                 f"ended={time.time():.6f} {outcome}"
             )
@@ -281,17 +285,17 @@
             aiohttp.ClientSession() as session,
             session.request(method, url, headers=headers, data=sent) as response,
         ):
-            whole = True
+            is_whole = True
             try:
                 async for data in response.content.iter_any():
                     body += data
             except aiohttp.ClientError:
-                whole = False
+                is_whole = False
             return FleetAnswer(
                 status=response.status,
                 body=body,
                 headers=dict(response.headers),
-                whole=whole,
+                is_whole=is_whole,
             )
 
     def count_runs(self) -> int:
--- a/tests/promises/test_answer.py
+++ b/tests/promises/test_answer.py
@@ -1,4 +1,4 @@
-"""Show that an answer is whole and the caller's own, or fails openly."""
+"""Test that an answer is complete and the caller's own, or visibly failed."""
 
 import asyncio
 import json
@@ -9,18 +9,20 @@
 from standins.launcher import wait_for
 from tests.common import OTHER_SECRET, SECRET, Fleet
 
-KEY = {"Idempotency-Key": "briefing-7"}
+KEY_HEADERS = {"Idempotency-Key": "briefing-7"}
 
 
 class AnswerTest(unittest.IsolatedAsyncioTestCase):
-    """Break targets, hosts and connections around one answer."""
+    """Inject faults into targets, hosts and connections during one answer."""
 
     async def test_target_output_out_of_order_foreign_or_cut(self) -> None:
-        """Let the engine swap two chunks, send another's chunk, break off, close early.
+        """Guard against passing on an engine's faulty output as a good answer.
 
-        The chunks' numbers and owner show the fault at the first wrong one. The
-        stream then ends with an error event and without its end mark; the answer
-        that is not streamed is refused. Only what the engine ran is billed.
+        The engine swaps two chunks, sends a chunk of another request, resets the
+        connection or closes it early. The host detects the first wrong chunk by its
+        number or request id, and ends the stream with an error event and without
+        the end marker. Without streaming, the request is refused. Only what the
+        engine ran is billed.
         """
         async with Fleet(n_hosts=2) as fleet:
             for fault in ("reorder_at", "foreign_at", "break_after", "close_at"):
@@ -32,32 +34,35 @@
                     self.assertIn("retry_after_s", streamed.stream_error)
                     whole = await fleet.chat(fleet.hosts[0])
                     self.assertEqual(whole.error, ("target_failed", "unknown"))
-                # A good answer in between keeps the engine from being ejected.
+                # A good answer after each fault prevents the engine's ejection.
                 await fleet.control(fleet.engines[0])
                 self.assertEqual((await fleet.chat(fleet.hosts[0])).status, 200)
             await fleet.wait_for_spend(await fleet.count_executed())
 
     async def test_retry_joins_the_running_answer(self) -> None:
-        """Send one key to the first host, then to all while it is answered.
+        """Guard against a second run when a key is retried during its first run.
 
-        The key's home knows who runs it, so the others read the same run. Every
-        caller gets the same text; the engine ran one request, billed once. When
-        it has ended, a retry gets the kept answer.
+        One key is sent to the first host, then to all hosts while it is being
+        answered. The key's home knows which host runs it, so the other hosts read
+        that run. Every caller gets the same text, and the engine runs and bills one
+        request. A retry after its end gets the stored answer.
         """
         async with Fleet() as fleet:
             await fleet.control(fleet.engines[0], tokens_per_s=20)
             first = asyncio.create_task(
-                fleet.chat(fleet.hosts[0], max_tokens=20, stream=True, headers=KEY)
+                fleet.chat(
+                    fleet.hosts[0], max_tokens=20, stream=True, headers=KEY_HEADERS
+                )
             )
             await wait_for(fleet.list_executed, "the engine to run it")
             joined = await asyncio.gather(
                 *(
-                    fleet.chat(host, max_tokens=20, stream=stream, headers=KEY)
+                    fleet.chat(host, max_tokens=20, stream=stream, headers=KEY_HEADERS)
                     for host in fleet.hosts
                     for stream in (True, False)
                 )
             )
-            late = await fleet.chat(fleet.hosts[2], max_tokens=20, headers=KEY)
+            late = await fleet.chat(fleet.hosts[2], max_tokens=20, headers=KEY_HEADERS)
             executed = await fleet.list_executed()
             self.assertEqual(len(executed), 1)
             answers = [await first, *joined, late]
@@ -71,11 +76,12 @@
             await fleet.wait_for_spend(await fleet.count_executed())
 
     async def test_host_killed_mid_stream(self) -> None:
-        """Kill the host that streams, while a caller at another host has joined.
+        """Guard against a mixed or cut answer when the streaming host is killed.
 
-        The first caller's connection breaks without the end mark. The joined one
-        has part of the text already, so its stream ends with an error. A retry
-        finds the run lost, replaces it, and gets one whole answer.
+        A caller at another host has joined the stream. The first caller's connection
+        breaks without the end marker. The joined caller already has part of the text,
+        so its stream ends with an error. A retry finds that the run is lost, replaces
+        it, and gets one complete answer.
         """
         async with Fleet() as fleet:
             key = {"Idempotency-Key": fleet.pick_key(fleet.hosts[2])}
@@ -87,7 +93,7 @@
             joined = asyncio.create_task(
                 fleet.chat(fleet.hosts[1], max_tokens=40, stream=True, headers=key)
             )
-            await wait_for(lambda: count_tokens(fleet, 5), "some tokens")
+            await wait_for(lambda: has_generated(fleet, 5), "some tokens")
             await fleet.launcher.kill("host-0")
             with self.assertRaises(aiohttp.ClientError):
                 await first
@@ -104,14 +110,15 @@
             self.assertEqual(retry.text_digest, by_id[retry.json["id"]]["text_digest"])
 
     async def test_two_workspaces_with_the_same_key(self) -> None:
-        """Send the same key and body for two workspaces to the same hosts.
+        """Guard against a key that is shared between workspaces.
 
-        The key counts within its workspace: two runs, two answers, two bills.
+        The same key and body are sent for two workspaces to the same hosts. Keys are
+        separate per workspace: there are two runs, two answers and two bills.
         """
         async with Fleet(n_hosts=2) as fleet:
             answers = await asyncio.gather(
                 *(
-                    fleet.chat(host, headers=KEY, secret=secret)
+                    fleet.chat(host, headers=KEY_HEADERS, secret=secret)
                     for host in fleet.hosts
                     for secret in (SECRET, OTHER_SECRET)
                 )
@@ -128,10 +135,10 @@
                 await fleet.wait_for_spend(tokens, name=name)
 
     async def test_connection_reused_after_a_timeout(self) -> None:
-        """Let a request run into its deadline, then send others on the same host.
+        """Guard against bytes of a timed-out answer in a later answer.
 
-        The late rest of the first answer must not show in a later one. Each later
-        answer equals what the engine generated for it.
+        A request exceeds its deadline, then others are sent to the same host. Each
+        later answer must equal what the engine generated for it.
         """
         async with Fleet(n_hosts=1) as fleet:
             await fleet.control(fleet.engines[0], tokens_per_s=20)
@@ -148,26 +155,28 @@
             await fleet.wait_for_spend(await fleet.count_executed())
 
     async def test_caller_hangs_up(self) -> None:
-        """Hang up in the middle, streamed and not, without a key and with one.
+        """Disconnect in the middle, with and without streaming, without and with a key.
 
-        Without a key the engine is told to stop at once. With one the run goes on
-        for a short time, so that a retry at another host joins it. Only what the
-        engine ran is billed.
+        Without a key the host cancels the run at the engine immediately. With a key
+        the run continues for a short time, so that a retry at another host can join
+        it. Only what the engine ran is billed.
         """
         async with Fleet(n_hosts=2) as fleet:
             await fleet.control(fleet.engines[0], tokens_per_s=50)
             for stream in (True, False):
-                await self._hang_up(fleet, stream=stream, headers={})
-                await wait_for(lambda: is_stopped(fleet), "the engine to stop")
-            await self._hang_up(fleet, stream=True, headers=KEY)
-            retry = await fleet.chat(fleet.hosts[1], max_tokens=200, headers=KEY)
+                await self._cancel_running_chat(fleet, stream=stream, headers={})
+                await wait_for(lambda: is_request_stopped(fleet), "the engine to stop")
+            await self._cancel_running_chat(fleet, stream=True, headers=KEY_HEADERS)
+            retry = await fleet.chat(
+                fleet.hosts[1], max_tokens=200, headers=KEY_HEADERS
+            )
             executed = await fleet.list_executed()
             self.assertEqual(len(executed), 3)
             self.assertEqual(executed[-1]["state"], "finished")
             self.assertEqual(retry.text_digest, executed[-1]["text_digest"])
             await fleet.wait_for_spend(await fleet.count_executed())
 
-    async def _hang_up(
+    async def _cancel_running_chat(
         self, fleet: Fleet, *, stream: bool, headers: dict[str, str]
     ) -> None:
         before = len(await fleet.list_executed())
@@ -183,13 +192,13 @@
         chat.cancel()
 
 
-async def count_tokens(fleet: Fleet, n_tokens: int) -> bool:
-    """Tell whether the last request has generated enough."""
+async def has_generated(fleet: Fleet, n_tokens: int) -> bool:
+    """Return whether the last request has generated at least `n_tokens`."""
     executed = await fleet.list_executed()
     return bool(executed[-1]["completion_tokens"] >= n_tokens)
 
 
-async def is_stopped(fleet: Fleet) -> bool:
-    """Tell whether the engine stopped its last request before the end."""
+async def is_request_stopped(fleet: Fleet) -> bool:
+    """Return whether the engine stopped its last request before the end."""
     executed = await fleet.list_executed()
     return executed[-1]["state"] in ("cancelled", "dropped")
--- a/tests/promises/test_billing.py
+++ b/tests/promises/test_billing.py
@@ -1,4 +1,4 @@
-"""Show that a request is billed once, wherever and however often it runs."""
+"""Test that a request is billed once, however often and on whichever host it runs."""
 
 import asyncio
 import unittest
@@ -7,20 +7,21 @@
 from tests.answers import CallerAnswer
 from tests.common import Fleet
 
-KEY = {"Idempotency-Key": "briefing-7"}
+KEY_HEADERS = {"Idempotency-Key": "briefing-7"}
 
 
 class BillingTest(unittest.IsolatedAsyncioTestCase):
-    """Send one key again after everything that loses its run."""
+    """Send one key again after each fault that can lose its run."""
 
     async def test_same_key_at_every_host_at_once(self) -> None:
-        """Send one key to each host four times at once.
+        """Send one key four times to each host, all at the same time.
 
-        The key's home grants it to one host and the others join. One run, one bill.
+        The key's home grants the key to one host, and the others join its run. There
+        is one run and one bill.
         """
         async with Fleet() as fleet:
             answers = await asyncio.gather(
-                *(fleet.chat(host, headers=KEY) for host in fleet.hosts * 4)
+                *(fleet.chat(host, headers=KEY_HEADERS) for host in fleet.hosts * 4)
             )
             self.assertEqual({answer.status for answer in answers}, {200})
             self.assertEqual(len({answer.body for answer in answers}), 1)
@@ -28,10 +29,10 @@
             await self._check_bill(fleet, fleet.hosts, await fleet.count_executed())
 
     async def test_same_key_on_both_sides_of_a_cut(self) -> None:
-        """Cut one host from the others and send the key on both sides.
+        """Partition one host from the others and send the key on both sides.
 
-        Each side takes a home of its own, so the work is done twice. The fold
-        bills the dearer run and credits the other.
+        Each side chooses its own home for the key, so the request runs twice. The
+        fold bills the more expensive run and credits the other.
         """
         async with Fleet() as fleet:
             fleet.cut_apart(fleet.hosts[:1], fleet.hosts[1:])
@@ -45,9 +46,10 @@
             await self._check_bill(fleet, fleet.hosts, tokens)
 
     async def test_retry_after_the_first_host_is_lost(self) -> None:
-        """Kill the host that answered, then send the key to another.
+        """Kill the host that answered, then send the key to another host.
 
-        Its answer is lost with it, so the request runs again under the same key.
+        The stored answer is lost with the host, so the request runs again under the
+        same key.
         """
         async with Fleet() as fleet:
             key = {"Idempotency-Key": fleet.pick_key(fleet.hosts[2])}
@@ -61,15 +63,15 @@
             await self._check_bill(fleet, fleet.hosts[1:], tokens)
 
     async def test_host_killed_mid_answer(self) -> None:
-        """Kill the host in the middle of an answer, then send the key to another.
+        """Kill the host in the middle of an answer, then send the key to another host.
 
-        The lost host's run is settled by the engine's word and the retry's run by
-        its own host, under one key: the dearer of the two is billed.
+        The lost host's run is settled with the engine's report, and the retry's run
+        by its own host. Both have one key, so the more expensive one is billed.
         """
         async with Fleet() as fleet:
             await fleet.control(fleet.engines[0], tokens_per_s=20)
             first = asyncio.create_task(
-                fleet.chat(fleet.hosts[0], max_tokens=30, headers=KEY)
+                fleet.chat(fleet.hosts[0], max_tokens=30, headers=KEY_HEADERS)
             )
 
             async def is_running() -> bool:
@@ -93,30 +95,30 @@
             await self._check_bill(fleet, fleet.hosts[1:], tokens)
 
     async def test_retry_after_the_answer_is_forgotten(self) -> None:
-        """Send a key again after its answer's retention.
+        """Send a key again after its answer's retention time.
 
-        The claim still names the run, whose host no longer has it. It is run
-        again, and the budget shows one bill.
+        The claim still names the run, but its host no longer stores the answer. The
+        request runs again, and the budget shows one bill.
         """
         async with Fleet(host_settings={"answer_retention_s": 0.3}) as fleet:
-            first = await fleet.chat(fleet.hosts[0], headers=KEY)
+            first = await fleet.chat(fleet.hosts[0], headers=KEY_HEADERS)
             tokens = first.json["usage"]["total_tokens"]
 
             async def is_run_again() -> bool:
-                retry = await fleet.chat(fleet.hosts[1], headers=KEY)
+                retry = await fleet.chat(fleet.hosts[1], headers=KEY_HEADERS)
                 return bool(retry.json["id"] != first.json["id"])
 
-            await wait_for(is_run_again, "the answer to be forgotten")
+            await wait_for(is_run_again, "the answer to expire")
             self.assertGreaterEqual(len(await fleet.list_executed()), 2)
             await self._check_bill(fleet, fleet.hosts, tokens)
 
     async def _check_bill(
         self, fleet: Fleet, hosts: list[Running], tokens: int
     ) -> None:
-        """Check what one key was billed, once every host has surely settled.
+        """Check what one key was billed, after every host has settled its runs.
 
-        A host settles in order. When a later, larger request of each host shows in
-        the spend, all that the host ran before shows as well.
+        A host settles in order. When a later, larger request of each host is counted
+        in the spend, so is everything that the host ran before.
         """
         for host in hosts:
             later = await fleet.chat(host, max_tokens=200)
@@ -127,11 +129,13 @@
     async def _retry_until_answered(
         self, fleet: Fleet, host: Running, max_tokens: int = 10
     ) -> CallerAnswer:
-        """Send the key again while it is refused; a new cut takes time to notice."""
+        """Retry while the key is refused; hosts detect a partition with a delay."""
         answers: list[CallerAnswer] = []
 
         async def is_answered() -> bool:
-            answers.append(await fleet.chat(host, max_tokens=max_tokens, headers=KEY))
+            answers.append(
+                await fleet.chat(host, max_tokens=max_tokens, headers=KEY_HEADERS)
+            )
             return answers[-1].status == 200
 
         await wait_for(is_answered, "an answer")
--- a/tests/promises/test_booking.py
+++ b/tests/promises/test_booking.py
@@ -1,4 +1,4 @@
-"""Show that a call that may not be repeated runs at most once."""
+"""Test that a call that may not be repeated runs at most once."""
 
 import asyncio
 import contextlib
@@ -14,20 +14,21 @@
 
 
 class BookingTest(unittest.IsolatedAsyncioTestCase):
-    """Break hosts, log and service around one booking."""
+    """Inject faults into hosts, log and service during one booking."""
 
     async def assert_one_effect(self, fleet: Fleet, key: str) -> None:
-        """Retry everywhere and count the effects that the service's meter shows."""
+        """Retry on all running hosts and check that the service acted at most once."""
         alive = [host for host in fleet.hosts if host.name in fleet.launcher.running]
         await asyncio.gather(*(fleet.book(host, key) for host in alive))
         self.assertLessEqual(len(await fleet.list_effects()), 1)
 
     async def test_simultaneous_retries_at_several_hosts(self) -> None:
-        """Let a secretary's page send one booking four times to each host at once.
+        """Guard against a second effect when a client sends one booking repeatedly.
 
-        All twelve race for the key's intent on the log. The first intent wins and
-        is sent; the others find it and wait for its outcome. All callers get the
-        same confirmation, and the service acted once.
+        One booking is sent four times to each host at the same time. All twelve
+        requests append an intent for the key. The first intent on the log is
+        executed; the others find it and wait for its outcome. All callers get the
+        same confirmation, and the service acts once.
         """
         async with Fleet() as fleet:
             answers = await asyncio.gather(
@@ -38,20 +39,20 @@
             self.assertEqual(len(await fleet.list_effects()), 1)
 
     async def test_host_killed_at_each_step(self) -> None:
-        """Kill the host that books, before and after each thing it sends.
+        """Guard against a second effect when the booking host is killed at any step.
 
-        The log's or the service's bytes are held to stop it there: the intent on
-        its way, the intent's answer, the call on its way, the service's answer,
-        the outcome on its way. The caller's connection breaks and the page
-        retries everywhere. Once the intent is on the log without an outcome,
-        the retry says "unknown" and runs nothing.
+        A proxy holds bytes to or from the log or the service to stop the host there:
+        the intent, the reply to the intent, the call, the service's reply, the
+        outcome. The caller's connection breaks and the client retries at all hosts.
+        When the intent is on the log without an outcome, the retry returns "unknown"
+        and runs nothing.
         """
         async with Fleet(n_hosts=6) as fleet:
-            steps = [hold_intent, hold_intent_answer, hold_call, hold_service_answer]
+            steps = [hold_intent, hold_intent_reply, hold_call, hold_service_reply]
             for number, step in enumerate([*steps, hold_outcome]):
-                await self._kill_at(fleet, step, number)
+                await self._kill_host_at(fleet, step, number)
 
-    async def _kill_at(self, fleet: Fleet, step: "Step", number: int) -> None:
+    async def _kill_host_at(self, fleet: Fleet, step: "Step", number: int) -> None:
         victim = fleet.hosts[number + 1]
         key = f"strip-{number}"
         before = len(await fleet.list_effects())
@@ -69,18 +70,20 @@
             effects = len(await fleet.list_effects()) - before
             self.assertLessEqual(effects, 1)
             if step in (hold_intent, hold_outcome):
-                # What was held flows on after the kill, before or after a retry.
+                # The proxy forwards the held bytes after the kill, before or after
+                # a retry.
                 return
             for answer in answers:
                 self.assertEqual(answer.status, 409, answer.body)
                 self.assertEqual(answer.error[1], UNKNOWN)
 
     async def test_caller_hangs_up_while_the_service_acts(self) -> None:
-        """Hang up after the service acted and before it answered.
+        """Guard against losing the outcome when the caller disconnects.
 
-        The server cancels the handler of a lost connection. The run goes on as a
-        task of its own and records the outcome, so the retry at another host gets
-        the confirmation instead of "unknown".
+        The caller disconnects after the service acted and before it answered. The
+        server cancels the handler of a closed connection. The run continues in a
+        separate task and records the outcome, so a retry at another host gets the
+        confirmation instead of "unknown".
         """
         async with Fleet() as fleet:
             await fleet.control(fleet.service, delay_s=0.5)
@@ -93,11 +96,11 @@
             self.assertEqual(len(await fleet.list_effects()), 1)
 
     async def test_answer_lost_after_the_effect(self) -> None:
-        """Drop the connection after the service acted, for POST and for PUT.
+        """Close the connection after the service acted, for POST and for PUT.
 
-        The caller is told that the call may have run, and so is every retry. The
-        HTTP client sends PUT again by itself on a broken connection, which would
-        be a second effect; its second send is stopped before the first byte.
+        The caller and every retry get an error that says that the call may have run.
+        The HTTP client repeats a PUT by itself on a broken connection, which would be
+        a second effect; the host stops the repeat before its first byte is sent.
         """
         async with Fleet() as fleet:
             for number, (operation, method) in enumerate(
@@ -113,10 +116,10 @@
                 self.assertEqual(len(await fleet.list_effects()), number + 1)
 
     async def test_append_answer_lost(self) -> None:
-        """Lose the log's answer to the intent after the intent was kept.
+        """Lose the log's reply to the intent after the log stored the intent.
 
-        The host appends the same record again; the fold drops the repeat and the
-        first one's verdict counts. The caller gets its confirmation.
+        The host appends the same record again. The fold ignores the repeat and keeps
+        the verdict on the first. The caller gets its confirmation.
         """
         async with Fleet() as fleet:
             await fleet.control(fleet.log, lose_answers=1)
@@ -125,11 +128,11 @@
             await self.assert_one_effect(fleet, "strip-7")
 
     async def test_log_outage(self) -> None:
-        """Take the log away; book with a new key and with one that has its outcome.
+        """Stop the log, then book with a new key and with a key that has an outcome.
 
-        The new booking is refused at once, not run, with a time to come back. The
-        known key is replayed from the state that the host has folded. When the
-        log is back, the refused key can be used.
+        The new booking is refused immediately as not run, with a Retry-After. The
+        known key's outcome is replayed from the host's folded state. When the log is
+        back, the refused key can be booked.
         """
         async with Fleet() as fleet:
             first = await fleet.book(fleet.hosts[0], "strip-7")
@@ -153,11 +156,12 @@
             self.assertEqual(len(await fleet.list_effects()), 2)
 
     async def test_service_refuses_or_cannot_be_reached(self) -> None:
-        """Let the service refuse, answer too much, and be out of reach.
+        """Let the service refuse, send a large answer, and be unreachable.
 
-        Its refusal is the outcome and is replayed, also when it would now accept.
-        An answer too large for the log is never replayed cut. A service that got
-        no byte of the call ran nothing: the key is free again.
+        A refusal is an outcome and is replayed, even when the service would accept
+        by then. An answer that is too large for the log is never replayed truncated.
+        A service that received no byte of the call ran nothing, so the key can be
+        used again.
         """
         async with Fleet() as fleet:
             await fleet.control(fleet.service, refuse_status=409)
@@ -182,9 +186,9 @@
             self.assertEqual(len(await fleet.list_effects()), 2)
 
     async def test_cost_is_billed_once(self) -> None:
-        """Book a call that costs tokens at every host with one key.
+        """Send one booking that costs tokens to every host with the same key.
 
-        Only the run that was sent is settled; replays cost nothing.
+        Only the executed run is settled; replays cost nothing.
         """
         async with Fleet() as fleet:
             for host in fleet.hosts:
@@ -203,25 +207,25 @@
 
 
 async def has_outcome(fleet: Fleet, host: Running, key: str) -> bool:
-    """Tell whether a host has folded the outcome of a key."""
+    """Return whether a host has folded the outcome of a key."""
     intent = await fleet.get_intent(host, key)
     return intent is not None and intent["status"] is not None
 
 
 async def hold_intent(fleet: Fleet, victim: Running, key: str, task: Booking) -> None:
-    """Stop the intent on its way to the log."""
+    """Hold the intent on its way to the log."""
     rule = fleet.proxies["log"].rules[get_address(victim.name)]
     rule.hold_requests = True
     await wait_for(lambda: rule.n_held > 0, "the intent to be held")
 
 
-async def hold_intent_answer(
+async def hold_intent_reply(
     fleet: Fleet, victim: Running, key: str, task: Booking
 ) -> None:
-    """Stop what the log answers, with the intent kept.
+    """Hold the log's reply after the log has stored the intent.
 
-    The host would read its intent through a peer and go on, so the peers are
-    cut off too.
+    The host would read its intent through a peer and continue, so it is cut off from
+    its peers too.
     """
     others = [host for host in fleet.hosts if host is not victim]
     fleet.cut_apart([victim], others)
@@ -230,24 +234,24 @@
 
 
 async def hold_call(fleet: Fleet, victim: Running, key: str, task: Booking) -> None:
-    """Stop the call on its way to the service."""
+    """Hold the call on its way to the service."""
     rule = fleet.proxies["service"].rules[get_address(victim.name)]
     rule.hold_requests = True
     await wait_for(lambda: rule.n_held > 0, "the call to be held")
     await wait_for_open_intent(fleet, key)
 
 
-async def hold_service_answer(
+async def hold_service_reply(
     fleet: Fleet, victim: Running, key: str, task: Booking
 ) -> None:
-    """Stop the service's answer after its effect."""
+    """Hold the service's reply after its effect."""
     rule = fleet.proxies["service"].rules[get_address(victim.name)]
     rule.hold_answers = True
     await wait_for(lambda: rule.n_held > 0, "the answer to be held")
 
 
 async def hold_outcome(fleet: Fleet, victim: Running, key: str, task: Booking) -> None:
-    """Stop the outcome on its way to the log."""
+    """Hold the outcome on its way to the log."""
     rule = fleet.proxies["service"].rules[get_address(victim.name)]
     rule.hold_answers = True
     await wait_for(lambda: rule.n_held > 0, "the answer to be held")
@@ -257,7 +261,7 @@
 
 
 async def wait_for_open_intent(fleet: Fleet, key: str) -> None:
-    """Wait until the first host has folded a key's intent, still without outcome."""
+    """Wait until the first host has folded a key's intent that has no outcome yet."""
 
     async def is_open() -> bool:
         intent = await fleet.get_intent(fleet.hosts[0], key)
--- a/tests/promises/test_configuration.py
+++ b/tests/promises/test_configuration.py
@@ -1,4 +1,4 @@
-"""Prove that accepted configuration is in force everywhere and never reverts."""
+"""Test that accepted configuration takes effect on all hosts and never reverts."""
 
 import asyncio
 import unittest
@@ -7,20 +7,20 @@
 from standins.launcher import Running, wait_for
 from tests.common import Fleet
 
-IN_FORCE_S = 5.0
+IN_FORCE_TIMEOUT_S = 5.0
 FAST_LOG = {"log_timeout_s": 0.5, "log_poll_s": 0.5}
 
 
 async def publish(
     fleet: Fleet, host: Running, name: str, content: str, operation: str, **more: Any
 ) -> Any:
-    """Publish a file through a host and return the verdict."""
+    """Publish a file at a host and return the verdict."""
     body = {"operation": operation, "name": name, "content": content, **more}
     return await fleet.launcher.post_json(f"{host.operator_url}/config/publish", body)
 
 
 async def remove(fleet: Fleet, host: Running, name: str, operation: str) -> Any:
-    """Remove a file through a host and return the verdict."""
+    """Remove a file at a host and return the verdict."""
     body = {"operation": operation, "name": name}
     return await fleet.launcher.post_json(f"{host.operator_url}/config/remove", body)
 
@@ -31,91 +31,90 @@
     return {item["name"]: item["content"] for item in files}
 
 
-async def wait_in_force(
+async def wait_until_in_force(
     fleet: Fleet, host: Running, name: str, content: str | None
 ) -> None:
-    """Wait until a host has a file's content in force, or the file is gone."""
+    """Wait until a host has a file's content in force; None means no such file."""
 
     async def holds() -> bool:
         return (await get_files(fleet, host)).get(name) == content
 
-    await wait_for(holds, f"{name} in force on {host.name}", IN_FORCE_S)
+    await wait_for(holds, f"{name} in force on {host.name}", IN_FORCE_TIMEOUT_S)
 
 
-async def set_log(fleet: Fleet, **control: Any) -> None:
-    """Order the log to misbehave."""
+async def control_log(fleet: Fleet, **control: Any) -> None:
+    """Set the log's faults and limits."""
     await fleet.launcher.post_json(f"{fleet.log.url}/control", control)
 
 
 def make_budget(tokens: int) -> str:
-    """Return a file that sets one more budget."""
+    """Return a file that sets an additional budget."""
     return f"[budgets.extra]\ntokens = {tokens}\n"
 
 
 class RelayTest(unittest.IsolatedAsyncioTestCase):
-    """Cut hosts from the log."""
+    """Test hosts that can't reach the log, or reach it slowly."""
 
-    async def test_host_that_hears_only_one_peer_follows_and_publishes(self) -> None:
-        """Let one host lose the log and all peers but one.
+    async def test_host_that_reaches_only_one_peer_follows_and_publishes(self) -> None:
+        """Cut one host from the log and from all peers except one.
 
-        An operator publishes at another host; the cut host has the file in
-        force within 5 s. Then an operator publishes at the cut host itself.
-        Each record is read and appended through the one peer that is left.
+        A file published at another host is in force on the cut host within 5 s. Then
+        a file is published at the cut host itself. Both records are relayed through
+        the one reachable peer.
         """
         async with Fleet(n_hosts=4, n_engines=0) as fleet:
-            cut = fleet.hosts[3]
-            fleet.cut([cut], ["log"])
-            fleet.cut_apart([cut], fleet.hosts[:2])
+            cut_host = fleet.hosts[3]
+            fleet.cut([cut_host], ["log"])
+            fleet.cut_apart([cut_host], fleet.hosts[:2])
             verdict = await publish(
                 fleet, fleet.hosts[0], "20-a.toml", make_budget(1), "op-first-1"
             )
             self.assertTrue(verdict["accepted"], verdict)
-            await wait_in_force(fleet, cut, "20-a.toml", make_budget(1))
+            await wait_until_in_force(fleet, cut_host, "20-a.toml", make_budget(1))
             verdict = await publish(
-                fleet, cut, "20-a.toml", make_budget(2), "op-second-2"
+                fleet, cut_host, "20-a.toml", make_budget(2), "op-second-2"
             )
             self.assertTrue(verdict["accepted"], verdict)
             for host in fleet.hosts:
-                await wait_in_force(fleet, host, "20-a.toml", make_budget(2))
+                await wait_until_in_force(fleet, host, "20-a.toml", make_budget(2))
 
     async def test_publish_in_an_outage_gets_one_verdict(self) -> None:
         """Stop the log in the middle of a publish.
 
-        The operator is told that the outcome is not known, and sends the same
-        operation again, at another host, after the outage. Both sendings land,
-        and the second one is answered with the verdict of the first.
+        The operator gets the reply that the outcome is unknown, and sends the same
+        operation again at another host after the outage. Both are appended to the
+        log, and the second gets the verdict of the first.
         """
         async with Fleet(n_engines=0, host_settings=FAST_LOG) as fleet:
-            await set_log(fleet, down=True)
+            await control_log(fleet, down=True)
             first = await publish(
                 fleet, fleet.hosts[0], "20-a.toml", make_budget(1), "op-outage-1"
             )
             self.assertFalse(first["known"], first)
-            await set_log(fleet, down=False)
+            await control_log(fleet, down=False)
             again = await publish(
                 fleet, fleet.hosts[1], "20-a.toml", make_budget(1), "op-outage-1"
             )
             self.assertTrue(again["accepted"], again)
-            # The first host appends in order, so this comes after its record.
+            # The first host appends in order, so this record follows its first one.
             await publish(fleet, fleet.hosts[0], "30-b.toml", "", "op-outage-2")
-            await wait_in_force(fleet, fleet.hosts[2], "30-b.toml", "")
+            await wait_until_in_force(fleet, fleet.hosts[2], "30-b.toml", "")
             for host in fleet.hosts:
-                await wait_in_force(fleet, host, "20-a.toml", make_budget(1))
+                await wait_until_in_force(fleet, host, "20-a.toml", make_budget(1))
             history = await fleet.launcher.get_json(
                 f"{fleet.hosts[2].operator_url}/config/history"
             )
             changes = [item for item in history if item["operation"] == "op-outage-1"]
             self.assertEqual(len(changes), 1, changes)
 
-    async def test_slow_log_is_heard_in_the_end(self) -> None:
-        """Let the log answer slower than the hosts' timeout.
+    async def test_slow_log_is_read_with_longer_timeouts(self) -> None:
+        """Let the log answer more slowly than the hosts' timeout.
 
-        A call given up at the timeout and sent again would never be answered.
-        The operator's change is in force all the same, since the hosts wait
-        longer at each probe.
+        With a fixed timeout, every retried call would time out again. The hosts wait
+        longer at each probe, so the change takes effect.
         """
         async with Fleet(n_engines=0, host_settings=FAST_LOG) as fleet:
-            await set_log(fleet, delay_s=1.2)
+            await control_log(fleet, delay_s=1.2)
             await publish(
                 fleet, fleet.hosts[0], "20-a.toml", make_budget(1), "op-slow-1"
             )
@@ -128,13 +127,13 @@
 
 
 class RaceTest(unittest.IsolatedAsyncioTestCase):
-    """Let operators race each other."""
+    """Test concurrent changes by operators."""
 
     async def test_racing_edits_have_one_winner_and_one_clear_conflict(self) -> None:
-        """Let two operators publish the same file at two hosts at once.
+        """Publish the same file at two hosts at the same time.
 
-        Both saw the same revision. One is accepted; the other is told of the
-        conflict and that it was not taken. No host ever shows the loser.
+        Both changes are based on the same revision. One is accepted; the other is
+        rejected with a conflict and takes effect on no host.
         """
         async with Fleet(n_engines=0) as fleet:
             answers = await asyncio.gather(
@@ -156,20 +155,20 @@
             self.assertEqual(loser["reason"], "conflict", loser)
             winner = make_budget(accepted.index(True) + 1)
             for host in fleet.hosts:
-                await wait_in_force(fleet, host, "20-a.toml", winner)
+                await wait_until_in_force(fleet, host, "20-a.toml", winner)
 
     async def test_file_is_kept_while_another_depends_on_it(self) -> None:
-        """Remove a budget while another operator adds a workspace that needs it.
+        """Remove a budget while another operator adds a workspace that refers to it.
 
-        Whichever record comes first wins, and the other is rejected with the
-        key that leads nowhere; no host ever has both in force.
+        The first record on the log is accepted. The other is rejected, and the
+        finding names the key with the missing reference. No host applies both.
         """
         async with Fleet(n_engines=0) as fleet:
             await publish(
                 fleet, fleet.hosts[0], "20-a.toml", make_budget(1), "op-base-01"
             )
             for host in fleet.hosts:
-                await wait_in_force(fleet, host, "20-a.toml", make_budget(1))
+                await wait_until_in_force(fleet, host, "20-a.toml", make_budget(1))
             workspace = '[workspaces.extra]\nbudget = "extra"\n'
             answers = await asyncio.gather(
                 remove(fleet, fleet.hosts[1], "20-a.toml", "op-remove-1"),
@@ -182,9 +181,9 @@
             self.assertEqual(keys, ["workspaces.extra.budget"])
             for host in fleet.hosts:
                 if accepted[0]:
-                    await wait_in_force(fleet, host, "20-a.toml", None)
+                    await wait_until_in_force(fleet, host, "20-a.toml", None)
                 else:
-                    await wait_in_force(fleet, host, "30-b.toml", workspace)
+                    await wait_until_in_force(fleet, host, "30-b.toml", workspace)
                 files = await get_files(fleet, host)
                 self.assertEqual(
                     len(files.keys() & {"20-a.toml", "30-b.toml"}),
@@ -193,14 +192,14 @@
 
 
 class RetentionTest(unittest.IsolatedAsyncioTestCase):
-    """Let the log drop the records that made the configuration."""
+    """Test a log whose configuration records have expired."""
 
     async def test_new_host_comes_up_from_a_checkpoint(self) -> None:
         """Publish until the first records have expired, then add a host.
 
-        The newcomer finds only later records and a checkpoint. It shows the
-        same files, also the one whose record is long gone, and the edits of
-        a file that raced the checkpoint are not reverted.
+        The new host finds only later records and a checkpoint. It shows the same
+        files as the others, including the one whose record has expired, and edits
+        made while the checkpoint was written are not reverted.
         """
         settings = {"checkpoint_every": 10}
         async with Fleet(
@@ -212,36 +211,36 @@
                     fleet, host, "20-a.toml", make_budget(number), f"op-many-{number}"
                 )
                 self.assertTrue(verdict["accepted"], verdict)
-            newcomer = await fleet.start_host("host-3")
-            await wait_in_force(fleet, newcomer, "20-a.toml", make_budget(69))
+            new_host = await fleet.start_host("host-3")
+            await wait_until_in_force(fleet, new_host, "20-a.toml", make_budget(69))
             expected = await get_files(fleet, host)
-            self.assertEqual(await get_files(fleet, newcomer), expected)
+            self.assertEqual(await get_files(fleet, new_host), expected)
             self.assertIn("10-base.toml", expected)
 
     async def test_records_gone_without_checkpoint_are_made_good(self) -> None:
-        """Let all records expire in an outage, with no checkpoint written.
+        """Let all records expire during an outage, with no checkpoint written.
 
-        The hosts in place hold the state and put a checkpoint first when the
-        log is back. A newcomer that finds an empty log is not ready until
-        then, and shows the same files in the end.
+        The running hosts have the state and append a checkpoint first when the log
+        is back. A new host that finds an empty log is not ready until then, and shows
+        the same files afterwards.
         """
         settings = {"checkpoint_interval_s": 3.0, **FAST_LOG}
         async with Fleet(n_engines=0, host_settings=settings) as fleet:
             expected = await get_files(fleet, fleet.hosts[0])
-            await set_log(fleet, down=True)
+            await control_log(fleet, down=True)
 
             async def is_lost() -> bool:
                 lines = [line for host in fleet.hosts for line in host.lines]
                 return sum("message_type=log_lost" in line for line in lines) >= 3
 
-            await wait_for(is_lost, "the hosts to miss the log")
-            await asyncio.sleep(3.0)  # the outage itself, longer than the interval
-            await set_log(fleet, retention=1)
+            await wait_for(is_lost, "the hosts to detect the outage")
+            await asyncio.sleep(3.0)  # so that the outage exceeds the interval
+            await control_log(fleet, retention=1)
             verdict = await publish(
                 fleet, fleet.hosts[0], "20-a.toml", make_budget(1), "op-after-1"
             )
             self.assertTrue(verdict["accepted"], verdict)
-            newcomer = await fleet.start_host("host-3")
-            await wait_in_force(
-                fleet, newcomer, "10-base.toml", expected["10-base.toml"]
+            new_host = await fleet.start_host("host-3")
+            await wait_until_in_force(
+                fleet, new_host, "10-base.toml", expected["10-base.toml"]
             )
--- a/tests/promises/test_crashes.py
+++ b/tests/promises/test_crashes.py
@@ -1,26 +1,26 @@
-"""Test that a request that crashes targets is told from the others."""
+"""Test that hosts identify and block a request that crashes its targets."""
 
 import asyncio
 import unittest
 
 from standins.launcher import wait_for
-from tests.promises.crashing import AWAY_S, CRASHING_BODY, CrashingTargets
+from tests.promises.crashing import CRASHING_BODY, RESTART_DELAY_S, CrashingTargets
 from tests.promises.fleet import FleetAnswer, PlatformFleet
 
 N_ATTEMPTS = 12
-# Three targets end before it can be told from the others, and as many more may while
-# the hosts hear of it.
+# Three targets crash before the request can be identified, and as many more may crash
+# until all hosts have received that.
 MAX_CRASHES = 6
-N_CUTS = 4
+N_INTERRUPTIONS = 4
 
 
 async def repeat_crashing(fleet: PlatformFleet, n_attempts: int) -> list[FleetAnswer]:
-    """Send the crashing request again and again, at each host in turn."""
+    """Send the crashing request `n_attempts` times, to each host in turn."""
     answers = []
     for number in range(n_attempts):
         host = f"host-{number % fleet.n_hosts}"
         answers.append(await fleet.call("/stream/x", host=host, body=CRASHING_BODY))
-        await asyncio.sleep(AWAY_S)
+        await asyncio.sleep(RESTART_DELAY_S)
     return answers
 
 
@@ -34,7 +34,7 @@
 
 
 async def wait_until_listed(fleet: PlatformFleet) -> None:
-    """Wait until every host knows the targets that run now."""
+    """Wait until every host has listed the targets that run now."""
     for host in fleet.hosts.values():
         for target in fleet.targets:
             await wait_for(
@@ -46,32 +46,32 @@
 
 
 class CrashingRequestTest(unittest.IsolatedAsyncioTestCase):
-    """Test what becomes of a request that crashes each target that runs it."""
+    """Test a request that crashes each target that runs it."""
 
     async def test_repeats_at_two_hosts_stop_crashing_targets(self) -> None:
-        """Guard against hosts that send it to one target after the other."""
+        """Guard against hosts that send the request to one target after another."""
         async with PlatformFleet(n_hosts=2, n_targets=4) as fleet:
             targets = CrashingTargets(fleet=fleet)
             answers = await repeat_crashing(fleet, N_ATTEMPTS)
             self.assertLessEqual(targets.n_crashes, MAX_CRASHES)
             self.assertEqual(answers[-1].status, 503)
             self.assertIn("Retry-After", answers[-1].headers)
-            await targets.settle()
+            await targets.wait_until_restarted()
             await wait_until_listed(fleet)
-            sound = await fleet.call("/stream/x")
-            self.assertEqual(sound.status, 200)
+            harmless = await fleet.call("/stream/x")
+            self.assertEqual(harmless.status, 200)
 
     async def test_repeat_within_one_attempt_stops_crashing_targets(self) -> None:
-        """Guard against a resumed stream that ends a second target each time."""
+        """Guard against resuming the stream at a second target, which crashes too."""
         async with PlatformFleet(n_hosts=1, n_targets=4) as fleet:
             targets = CrashingTargets(fleet=fleet)
             for _ in range(N_ATTEMPTS):
                 await fleet.call("/stream-again/x", body=CRASHING_BODY)
-                await asyncio.sleep(AWAY_S)
+                await asyncio.sleep(RESTART_DELAY_S)
             self.assertLessEqual(targets.n_crashes, MAX_CRASHES)
 
-    async def test_knowledge_outlasts_all_hosts(self) -> None:
-        """Guard against hosts that forget it when all of them start again."""
+    async def test_block_survives_a_restart_of_all_hosts(self) -> None:
+        """Guard against forgetting the block when all hosts restart."""
         async with PlatformFleet(n_hosts=2, n_targets=4) as fleet:
             targets = CrashingTargets(fleet=fleet)
             await repeat_crashing(fleet, 4)
@@ -85,55 +85,55 @@
             self.assertEqual([answer.status for answer in answers], [503, 503])
             self.assertEqual(targets.n_crashes, n_crashes)
 
-    async def test_host_cut_from_the_store_tells_its_peers(self) -> None:
-        """Guard against crashes that only a host without the store knows of."""
+    async def test_host_cut_from_the_store_reports_crashes_to_its_peers(self) -> None:
+        """Guard against crashes known only to a host that can't reach the store."""
         async with PlatformFleet(n_hosts=2, n_targets=4) as fleet:
             targets = CrashingTargets(fleet=fleet)
-            fleet.hosts["host-1"].door.is_refusing = True
+            fleet.hosts["host-1"].store_server.is_refusing = True
             for _ in range(3):
                 await fleet.call("/look/x", host="host-1", body=CRASHING_BODY)
-                await asyncio.sleep(AWAY_S)
+                await asyncio.sleep(RESTART_DELAY_S)
             await wait_until_blocked(fleet)
             n_crashes = targets.n_crashes
             answer = await fleet.call("/look/x", host="host-0", body=CRASHING_BODY)
             self.assertEqual(answer.status, 503)
             self.assertEqual(targets.n_crashes, n_crashes)
-            # Written by its peer, it is there for hosts that start.
+            # The peer has written the block to the store, so a new host reads it.
             await fleet.kill("host-0")
             await fleet.start_host("host-0")
             answer = await fleet.call("/look/x", host="host-0", body=CRASHING_BODY)
             self.assertEqual(answer.status, 503)
 
 
-class SoundRequestTest(unittest.IsolatedAsyncioTestCase):
-    """Test what becomes of sound requests under way where targets end."""
+class HarmlessRequestTest(unittest.IsolatedAsyncioTestCase):
+    """Test harmless requests that run on targets that crash."""
 
     async def test_request_cut_again_and_again_is_served_when_targets_stay(
         self,
     ) -> None:
-        """Guard against blocking what was cut by targets that ended by themselves."""
+        """Guard against blocking a request whose targets crashed for other reasons."""
         async with PlatformFleet(n_hosts=1, n_targets=4) as fleet:
             targets = CrashingTargets(fleet=fleet)
             for target in fleet.targets:
                 target.event_interval_s = 0.2
-            for _ in range(N_CUTS):
+            for _ in range(N_INTERRUPTIONS):
                 cut = asyncio.create_task(fleet.call("/stream/x", body=b"sound"))
                 other = asyncio.create_task(fleet.call("/stream/x", body=b"other"))
                 await asyncio.sleep(0.3)
                 await targets.crash_all()
                 await asyncio.gather(cut, other)
-                await targets.settle()
+                await targets.wait_until_restarted()
                 await wait_until_listed(fleet)
-                # Its caller comes back between the crashes, as callers do.
+                # The caller retries between the crashes, as real callers do.
                 answer = await fleet.call("/stream/x", body=b"sound")
                 self.assertEqual(answer.status, 200)
 
     async def test_answers_that_break_off_at_living_targets_block_nothing(self) -> None:
-        """Guard against taking a target that resets answers for one that ended."""
+        """Guard against counting a target that resets answers as crashed."""
         async with PlatformFleet(n_hosts=1, n_targets=4) as fleet:
             for target in fleet.targets:
                 target.break_after = 0
-            for _ in range(N_CUTS):
+            for _ in range(N_INTERRUPTIONS):
                 answer = await fleet.call("/stream/x", body=b"sound")
                 self.assertNotEqual(answer.status, 503)
             self.assertFalse(fleet.hosts["host-0"].has_logged("target_ended"))
--- a/tests/promises/test_forwarding.py
+++ b/tests/promises/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Test what callers get from hosts on the platform, with real processes."""
+"""Test the answers that callers get from hosts on the platform (real processes)."""
 
 import asyncio
 import signal
@@ -11,18 +11,18 @@
 from standins.platform import LOOPBACK
 from tests.promises.fleet import FleetAnswer, PlatformFleet
 
-# How long after its last byte a request may still be cut by a shutdown, by the
-# platform's rules for a machine that is stopped on purpose.
-LOSS_SLACK_S = 0.2
-GRANTS_BACK_S = 10.0
-EVENTS = b"".join(b"id: %d\ndata: %d\n\n" % (n, n) for n in range(1, 5))
+# The platform's rules for a planned shutdown allow that a request is cut off up to
+# this long after the host's last byte.
+SHUTDOWN_LOSS_WINDOW_S = 0.2
+GRANT_RETURN_TIMEOUT_S = 10.0
+ALL_EVENTS = b"".join(b"id: %d\ndata: %d\n\n" % (n, n) for n in range(1, 5))
 
 
 class MetricsTest(unittest.IsolatedAsyncioTestCase):
-    """Test that a host shows how it is."""
+    """Test the metrics page of a host."""
 
     async def test_page_counts_what_callers_got(self) -> None:
-        """Send a request and one with a wrong key, then read the page of metrics."""
+        """Send a request and one with a wrong key, then read the metrics page."""
         async with PlatformFleet() as fleet:
             await fleet.call("/stream/x")
             await fleet.call("/look/x", key="other")
@@ -41,54 +41,54 @@
 
 
 class AnswerTest(unittest.IsolatedAsyncioTestCase):
-    """Test that answers are whole, the caller's own, and honest."""
+    """Test that answers are complete, the caller's own, or visibly failed."""
 
     async def test_stream_is_relayed_whole(self) -> None:
-        """Stream an answer; it bears the target's signature and the key's owner."""
+        """Stream an answer; it has the target's seal, and the run the key's tenant."""
         async with PlatformFleet() as fleet:
             answer = await fleet.call("/stream/x")
-            self.assertEqual((answer.status, answer.body), (200, EVENTS))
+            self.assertEqual((answer.status, answer.body), (200, ALL_EVENTS))
             self.assertIn("seal", answer.headers["Response-Seal"])
             self.assertEqual(answer.headers["Attempt-Id"], "attempt-1")
             runs = [run for target in fleet.targets for run in target.runs]
             self.assertEqual([run.tenant for run in runs], ["school"])
 
     async def test_unknown_key_and_path_are_refused(self) -> None:
-        """Send a key that nobody holds, and a path without a route."""
+        """Send a key of no workspace, and a path without a route."""
         async with PlatformFleet() as fleet:
             self.assertEqual((await fleet.call("/look/x", key="other")).status, 401)
             self.assertEqual((await fleet.call("/nowhere/x")).status, 404)
             self.assertEqual(fleet.count_runs(), 0)
 
     async def test_broken_stream_is_resumed_without_a_gap(self) -> None:
-        """Reset a resumable stream within its third event.
+        """Reset a resumable stream in the middle of its third event.
 
-        The caller sees each event once and the end, though the first target broke
-        off: the second one goes on after the last whole event.
+        The second target resumes after the last complete event, so the caller gets
+        each event once, and the end.
         """
         async with PlatformFleet() as fleet:
             for target in fleet.targets:
                 target.break_after = 2
             answer = await fleet.call("/stream-again/x")
-            self.assertEqual((answer.whole, answer.body), (True, EVENTS))
+            self.assertEqual((answer.is_whole, answer.body), (True, ALL_EVENTS))
             resumed = [r.resumed_after for t in fleet.targets for r in t.runs]
             self.assertEqual(sorted(resumed), [0, 2])
 
     async def test_broken_stream_that_may_not_be_resumed_fails_openly(self) -> None:
-        """Reset a stream that may run once; its end must not look complete."""
+        """Reset a stream that may run only once; it must not look complete."""
         async with PlatformFleet() as fleet:
             for target in fleet.targets:
                 target.break_after = 2
             answer = await fleet.call("/stream/x")
-            self.assertFalse(answer.whole)
+            self.assertFalse(answer.is_whole)
             self.assertNotIn(b"id: 9", answer.body)
             self.assertEqual(fleet.count_runs(), 1)
 
     async def test_reset_answer_without_a_length_is_not_whole(self) -> None:
         """Answer without a length and reset the connection midway.
 
-        The HTTP library takes the reset for the end. The caller would get half an
-        answer as a whole one, with the target's signature.
+        The HTTP library treats the reset as the end of the answer. The caller would
+        get half an answer as a complete one, with the target's seal.
         """
         async with PlatformFleet() as fleet:
             for target in fleet.targets:
@@ -100,10 +100,10 @@
 
 
 class OnceTest(unittest.IsolatedAsyncioTestCase):
-    """Test what may run again and what may not."""
+    """Test which calls are retried and which are not."""
 
     async def test_call_that_may_have_run_is_not_repeated(self) -> None:
-        """Fail a call that may run once; the caller gets the target's own failure."""
+        """Fail a call that may run only once; the caller gets the target's error."""
         async with PlatformFleet() as fleet:
             for target in fleet.targets:
                 target.fail = True
@@ -113,7 +113,7 @@
             self.assertEqual(fleet.count_runs(), 1)
 
     async def test_call_that_did_not_run_goes_elsewhere(self) -> None:
-        """Let one target say that it did not run a call; the other runs it."""
+        """Let one target answer that it did not run a call; the other runs it."""
         async with PlatformFleet() as fleet:
             fleet.targets[0].refuse = True
             for _ in range(4):
@@ -121,7 +121,7 @@
             self.assertEqual(len(fleet.targets[1].runs), 4)
 
     async def test_refusal_of_all_targets_says_not_run(self) -> None:
-        """Let all targets refuse; the caller is told when to come back."""
+        """Let all targets refuse; the caller gets a Retry-After."""
         async with PlatformFleet() as fleet:
             for target in fleet.targets:
                 target.refuse = True
@@ -131,7 +131,7 @@
             self.assertEqual(fleet.count_runs(), 0)
 
     async def test_failed_lookup_is_repeated_elsewhere(self) -> None:
-        """Fail a call that may be repeated at one target; the other answers."""
+        """Fail a call that may be retried at one target; the other answers."""
         async with PlatformFleet() as fleet:
             fleet.targets[0].fail = True
             for _ in range(4):
@@ -149,20 +149,20 @@
             host = fleet.hosts["host-0"]
             await wait_for(
                 lambda: host.has_logged("request_done", "complete=False"),
-                "the host to end the work",
+                "the host to end the request",
             )
             self.assertFalse(any(r.ended for t in fleet.targets for r in t.runs))
 
 
 class BudgetTest(unittest.IsolatedAsyncioTestCase):
-    """Test that prepaid tokens bind the whole fleet."""
+    """Test that the whole fleet stays within the prepaid tokens."""
 
     async def test_fleet_spends_no_more_than_was_prepaid(self) -> None:
-        """Send requests to three hosts at once, and kill the busiest midway.
+        """Send requests to three hosts at once, and kill one of them midway.
 
-        Each request spends 104 tokens of 5,000. The hosts share the budget, one is
-        killed with grants outstanding and starts again, and callers go on until
-        all are refused. The targets' own count stays within the budget.
+        Each request spends 104 of 5,000 tokens. The hosts share the budget, one is
+        killed with grants outstanding and restarted, and callers continue until they
+        are refused. The spend counted by the targets stays within the budget.
         """
         async with PlatformFleet(n_hosts=3, prepaid=5_000) as fleet:
             for burst in range(3):
@@ -176,19 +176,19 @@
                 if burst == 0:
                     await fleet.kill("host-1")
                     await fleet.start_host("host-1")
-            # Grants of the killed host come back a while after it.
+            # Grants of the killed host are returned only some time after its end.
             status = 0
-            async with asyncio.timeout(GRANTS_BACK_S):
+            async with asyncio.timeout(GRANT_RETURN_TIMEOUT_S):
                 while status not in (402, 429) or fleet.count_runs() * 104 <= 3_000:
                     status = (await fleet.call("/stream/x")).status
                     self.assertIn(status, (200, 402, 429))
             self.assertLessEqual(fleet.count_runs() * 104, 5_000)
 
     async def test_requests_under_one_id_hold_tokens_each(self) -> None:
-        """Send two requests at once under one id, with tokens for one of them.
+        """Send two requests with the same id at once, with tokens for one of them.
 
-        Were the second given the first one's hold, both would run, and the budget
-        of 150 tokens would be passed by 58.
+        If the second request used the first one's hold, both would run and exceed the
+        budget of 150 tokens by 58.
         """
         async with PlatformFleet(n_hosts=2, prepaid=150) as fleet:
             for target in fleet.targets:
@@ -201,20 +201,20 @@
 
 
 class HostTest(unittest.IsolatedAsyncioTestCase):
-    """Test hosts that leave or are cut from the store."""
+    """Test hosts that shut down or can't reach the store."""
 
-    async def stop_under_stream(self, fleet: PlatformFleet) -> FleetAnswer:
-        """Stop the first host once a stream is under way; return what came of it."""
+    async def stop_during_stream(self, fleet: PlatformFleet) -> FleetAnswer:
+        """Stop the first host during a stream and return the stream's answer."""
         stream = asyncio.create_task(fleet.call("/stream/x"))
         await wait_for(lambda: fleet.count_runs() == 1, "the run")
         fleet.hosts["host-0"].process.send_signal(signal.SIGTERM)
         return await stream
 
-    async def test_shutdown_cuts_off_nothing(self) -> None:
-        """Stop a host while a stream is under way.
+    async def test_shutdown_lets_a_running_stream_finish(self) -> None:
+        """Stop a host during a stream.
 
-        The balancer's question fails at once, the stream goes on to its end, and
-        the process ends by itself with code 0.
+        The load balancer's readiness check fails immediately, the stream continues to
+        its end, and the process exits by itself with code 0.
         """
         async with PlatformFleet() as fleet:
             for target in fleet.targets:
@@ -230,15 +230,15 @@
             ):
                 self.assertEqual(ready.status, 503)
             answer: FleetAnswer = await call
-            self.assertEqual((answer.whole, answer.body), (True, EVENTS))
+            self.assertEqual((answer.is_whole, answer.body), (True, ALL_EVENTS))
             self.assertEqual(await host.process.wait(), 0)
 
     async def test_shutdown_waits_for_a_stream_among_quick_calls(self) -> None:
-        """Stop a host with a long stream under way, while quick calls go on coming.
+        """Stop a host during a long stream, while short calls continue to arrive.
 
-        The stream begins before the signal and ends 4 s later, when no new stream
-        is taken any more. It is whole, and no quick call is cut off: each gets its
-        answer, or is told to go elsewhere.
+        The stream begins before the signal and ends 4 s later, when new streams are
+        no longer accepted. It is complete, and no short call is cut off: each gets
+        an answer or a 503.
         """
         async with PlatformFleet() as fleet:
             for target in fleet.targets:
@@ -252,29 +252,29 @@
             while not stream.done():
                 statuses.add((await fleet.call("/look/x", method="GET")).status)
             answer: FleetAnswer = await stream
-            self.assertEqual((answer.whole, answer.body), (True, EVENTS))
+            self.assertEqual((answer.is_whole, answer.body), (True, ALL_EVENTS))
             self.assertLessEqual(statuses, {200, 503})
             self.assertEqual(await host.process.wait(), 0)
 
     async def test_calls_that_cross_the_end_of_the_last_stream_are_answered(
         self,
     ) -> None:
-        """Go on calling for 0.2 s after the last stream of a draining host has ended.
+        """Continue to call for 0.2 s after a draining host's last stream has ended.
 
-        The host leaves once its last stream has ended. Callers learn of that a moment
-        later, and the balancer may send new ones meanwhile. They met a closed port 12
-        to 25 ms after `host_leaving`; each must get its answer, or a refusal.
+        The host shuts down when its last stream has ended. The load balancer notices
+        that with a delay and may still send requests. They found the port closed 12
+        to 25 ms after `host_leaving`; each must get an answer or a refusal.
         """
         async with PlatformFleet() as fleet:
             for target in fleet.targets:
                 target.event_interval_s = 0.9
             host = fleet.hosts["host-0"]
-            answer = await self.stop_under_stream(fleet)
-            self.assertEqual((answer.whole, answer.body), (True, EVENTS))
+            answer = await self.stop_during_stream(fleet)
+            self.assertEqual((answer.is_whole, answer.body), (True, ALL_EVENTS))
             loop = asyncio.get_running_loop()
-            ends = loop.time() + LOSS_SLACK_S
+            deadline = loop.time() + SHUTDOWN_LOSS_WINDOW_S
             statuses: list[int] = []
-            while loop.time() < ends:
+            while loop.time() < deadline:
                 statuses.append((await fleet.call("/look/x", method="GET")).status)
             self.assertTrue(statuses)
             self.assertLessEqual(set(statuses), {200, 503})
@@ -283,18 +283,19 @@
     async def test_stream_that_outlasts_the_grace_is_settled_before_the_end(
         self,
     ) -> None:
-        """Stop a host whose stream goes on for longer than the grace.
+        """Stop a host whose stream takes longer than the grace period.
 
-        The caller sees that its answer broke off. The host ended the stream only as it
-        closed its connections, after it had reported what was spent: its tokens stayed
-        counted at their most, and the library failed with InvalidStateError.
+        The caller sees that its answer is incomplete. The host had ended the stream
+        only when it closed its connections, after it had reported its spend: the
+        stream stayed counted with its maximum tokens, and the HTTP library failed with
+        InvalidStateError.
         """
         async with PlatformFleet(grace_s=3) as fleet:
             for target in fleet.targets:
                 target.event_interval_s = 1.2
             host = fleet.hosts["host-0"]
-            answer = await self.stop_under_stream(fleet)
-            self.assertFalse(answer.whole)
+            answer = await self.stop_during_stream(fleet)
+            self.assertFalse(answer.is_whole)
             self.assertEqual(await host.process.wait(), 0)
             assert host.reader is not None
             await host.reader
@@ -302,25 +303,25 @@
             self.assertFalse(host.has_logged("leave_incomplete"))
             settled = host.list_times("complete=False")
             self.assertEqual(len(settled), 1)
-            # The last draw gives back what was held for the stream and not spent.
+            # The last draw returns the stream's held tokens that were not spent.
             self.assertLess(settled[0], host.list_times("escrow_drawn")[-1])
 
     async def test_cut_host_learns_from_its_peers(self) -> None:
-        """Turn one host away from the store, then change routes and targets.
+        """Refuse one host's store calls, then change routes and targets.
 
-        Its peer reads the store and passes on what is new: the new route is served
-        by the cut host, and the target that leaves gets nothing from it.
+        Its peer reads the store and relays the new records: the cut host serves the
+        new route and sends nothing to the draining target.
         """
         async with PlatformFleet(n_hosts=2) as fleet:
-            cut = fleet.hosts["host-1"]
-            cut.door.is_refusing = True
-            await wait_for(lambda: cut.has_logged("store_out_of_reach"), "the cut")
-            await fleet.configure(2)
-            await fleet.list_target(0, state="draining")
+            cut_host = fleet.hosts["host-1"]
+            cut_host.store_server.is_refusing = True
+            await wait_for(lambda: cut_host.has_logged("store_out_of_reach"), "the cut")
+            await fleet.write_configuration(2)
+            await fleet.write_target(0, state="draining")
             await wait_for(
                 lambda: (
-                    cut.has_logged("config_in_force", "version=2")
-                    and cut.has_logged("target_listed", "i-0", "draining")
+                    cut_host.has_logged("config_in_force", "version=2")
+                    and cut_host.has_logged("target_listed", "i-0", "draining")
                 ),
                 "the relayed records",
             )
@@ -330,7 +331,7 @@
             self.assertEqual(fleet.targets[0].runs, [])
 
     async def test_bad_settings_name_their_findings(self) -> None:
-        """Start a host with a settings file that lacks its addresses."""
+        """Start a host with a settings file that lacks the addresses."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
--- a/tests/promises/test_leaving.py
+++ b/tests/promises/test_leaving.py
@@ -1,4 +1,4 @@
-"""Show that a leaving target receives no new work after a few seconds."""
+"""Test that a leaving target gets no new work after 5 seconds."""
 
 import asyncio
 import signal
@@ -10,31 +10,31 @@
 from tests.answers import CallerAnswer
 from tests.common import Fleet, get_address
 
-LIMIT_S = 5.0
-LEAVING = '[targets.engine-0]\nstate = "leaving"\nchecks_fencing = true\n'
-NAMES = ["log", "host-0", "host-1", "host-2"]
-# Draws without a witness and targets without watts let a host that is all
-# alone go on, so that nothing but its knowledge of the target can stop it.
-ALONE = {"recovery": "count-as-spent"}
-PLAIN = "".join(
+NEW_WORK_LIMIT_S = 5.0
+LEAVING_FILE = '[targets.engine-0]\nstate = "leaving"\nchecks_fencing = true\n'
+LOG_AND_HOSTS = ["log", "host-0", "host-1", "host-2"]
+# With draws without a witness and targets without watts, an isolated host can continue
+# to send; only what it knows of the target's state can stop it.
+UNWITNESSED_SETTINGS = {"recovery": "count-as-spent"}
+UNMETERED_FILE = "".join(
     f"[targets.engine-{number}]\nwatts_per_request = 0\nfences_cancelled = false\n"
     for number in range(2)
 )
 
 
 class LeavingTest(unittest.IsolatedAsyncioTestCase):
-    """Mark a target as leaving while a host hears nothing of it."""
+    """Mark a target as leaving while a host can't receive the change."""
 
     async def asyncSetUp(self) -> None:
-        """Keep what is sent, so that no task is left behind."""
-        self.sent: list[asyncio.Task[Any]] = []
+        """Prepare the list of tasks that the teardown waits for."""
+        self.tasks: list[asyncio.Task[Any]] = []
 
     async def asyncTearDown(self) -> None:
-        """Wait for what is still under way."""
-        await asyncio.gather(*self.sent, return_exceptions=True)
+        """Wait for the tasks that still run."""
+        await asyncio.gather(*self.tasks, return_exceptions=True)
 
     def keep_sending(self, fleet: Fleet, host: Running, stopped: asyncio.Event) -> None:
-        """Send one request after the other until stopped."""
+        """Start a task that sends one request after another until `stopped` is set."""
 
         async def send() -> None:
             while not stopped.is_set():
@@ -42,84 +42,90 @@
                 if answer.status != 200:
                     await asyncio.sleep(0.05)
 
-        self.sent.append(asyncio.create_task(send()))
+        self.tasks.append(asyncio.create_task(send()))
 
-    async def leave(self, fleet: Fleet, through: Running) -> float:
-        """Have engine-0 leave through a host and return when that was accepted."""
+    async def publish_leaving(self, fleet: Fleet, through: Running) -> float:
+        """Publish at a host that engine-0 leaves; return the time of acceptance."""
         answer = await fleet.launcher.post_json(
             f"{through.operator_url}/config/publish",
-            {"operation": "test-leave", "name": "40-leave.toml", "content": LEAVING},
+            {
+                "operation": "test-leave",
+                "name": "40-leave.toml",
+                "content": LEAVING_FILE,
+            },
         )
         self.assertTrue(answer["accepted"], answer)
         return time.time()
 
     async def check_no_new_work(self, fleet: Fleet, accepted: float) -> None:
-        """Check that nothing started at the leaving target after the limit."""
+        """Check that the leaving target started no request after the limit."""
         executed = await fleet.list_executed_at(fleet.engines[0])
-        late = [item for item in executed if item["started"] > accepted + LIMIT_S]
+        late = [
+            item for item in executed if item["started"] > accepted + NEW_WORK_LIMIT_S
+        ]
         self.assertEqual(late, [])
 
-    async def watch(self, fleet: Fleet, accepted: float) -> None:
-        """Let requests go on until well after the limit."""
+    async def wait_past_limit(self, fleet: Fleet, accepted: float) -> None:
+        """Wait until the other target has started a request 2 s after the limit."""
 
         async def is_over() -> bool:
             executed = await fleet.list_executed_at(fleet.engines[1])
             newest = max((item["started"] for item in executed), default=0.0)
-            return bool(newest > accepted + LIMIT_S + 2.0)
+            return bool(newest > accepted + NEW_WORK_LIMIT_S + 2.0)
 
         await wait_for(is_over, "requests after the limit")
 
-    async def check_cut_off(
+    async def check_host_cut_off(
         self, fleet: Fleet, names: list[str], *, accepted_by: int
     ) -> None:
-        """Cut the first host off, leave, and watch what it sends."""
-        await fleet.publish("20-plain.toml", PLAIN)
+        """Cut the first host off, let engine-0 leave, and check the sent requests."""
+        await fleet.publish("20-plain.toml", UNMETERED_FILE)
         stopped = asyncio.Event()
         for host in fleet.hosts:
             self.keep_sending(fleet, host, stopped)
-        await wait_for(lambda: self.has_work(fleet, 0), "work at the target")
+        await wait_for(lambda: self.has_work(fleet, 0), "a request at the target")
         fleet.cut(fleet.hosts[:1], names)
-        accepted = await self.leave(fleet, fleet.hosts[accepted_by])
-        await self.watch(fleet, accepted)
+        accepted = await self.publish_leaving(fleet, fleet.hosts[accepted_by])
+        await self.wait_past_limit(fleet, accepted)
         stopped.set()
         await self.check_no_new_work(fleet, accepted)
 
     async def has_work(self, fleet: Fleet, number: int) -> bool:
-        """Tell whether an engine was sent anything."""
+        """Return whether an engine has received a request."""
         return bool(await fleet.list_executed_at(fleet.engines[number]))
 
-    async def test_host_cut_from_the_log_hears_it_from_a_peer(self) -> None:
-        """A host is cut from the log but not from its peers.
+    async def test_host_cut_from_the_log_reads_it_from_a_peer(self) -> None:
+        """Cut a host from the log but not from its peers.
 
-        The operator has the target leave through another host. The first one
-        reads the change through a peer and sends nothing more.
+        The target's leaving is published at another host. The cut host reads the
+        change through a peer and sends no more requests to the target.
         """
         async with Fleet(n_engines=2, engine_options=("--checks-fencing",)) as fleet:
-            await self.check_cut_off(fleet, ["log"], accepted_by=1)
+            await self.check_host_cut_off(fleet, ["log"], accepted_by=1)
 
     async def test_host_that_can_confirm_nothing_asks_the_target(self) -> None:
-        """A host is cut from the log and from every peer, not from the targets.
+        """Cut a host from the log and all peers, but not from the targets.
 
-        It can't know that the target leaves. After its last confirmation has
-        run out it asks the target itself, which another host has told, and
-        goes on with the target that serves.
+        The host can't receive the change. When its last confirmation expires, it
+        asks the targets for their roles. Another host has ordered the leaving target
+        to leave, so the host continues with the target that serves.
         """
-        async with Fleet(n_engines=2, host_settings=ALONE) as fleet:
-            await self.check_cut_off(fleet, NAMES, accepted_by=1)
+        async with Fleet(n_engines=2, host_settings=UNWITNESSED_SETTINGS) as fleet:
+            await self.check_host_cut_off(fleet, LOG_AND_HOSTS, accepted_by=1)
 
     async def test_frozen_host_wakes_with_a_request_past_its_check(self) -> None:
-        """A host is frozen with a request held on its way to the target.
+        """Freeze a host whose requests are held on their way to the targets.
 
-        The target leaves meanwhile. More than 5 s later the host wakes, the
-        old request arrives, and a caller sends another. The target turns the
-        first away, because it carries an older configuration than the order to
-        leave; the host itself no longer trusts what it knew for the second.
+        One target leaves meanwhile. More than 5 s later the host resumes, the old
+        requests arrive, and callers send new ones. The target refuses the old ones,
+        because their configuration revision is older than the order to leave. The
+        host sends no new ones, because its confirmation has expired.
         """
         options = ("--checks-fencing", "--forgets-cancels")
         async with Fleet(
-            n_engines=2, engine_options=options, host_settings=ALONE
+            n_engines=2, engine_options=options, host_settings=UNWITNESSED_SETTINGS
         ) as fleet:
-            await fleet.publish("20-plain.toml", PLAIN)
+            await fleet.publish("20-plain.toml", UNMETERED_FILE)
             frozen = fleet.hosts[0]
             rules = [
                 fleet.proxies[engine.name].rules[get_address(frozen.name)]
@@ -128,12 +134,12 @@
             for rule in rules:
                 rule.hold_requests = True
             late = [self.start_chat(fleet, frozen) for _ in range(4)]
-            await wait_for(lambda: self.is_sending(fleet, frozen, 4), "requests out")
+            await wait_for(lambda: self.is_sending(fleet, frozen, 4), "4 requests sent")
             frozen.signal(signal.SIGSTOP)
-            accepted = await self.leave(fleet, fleet.hosts[1])
+            accepted = await self.publish_leaving(fleet, fleet.hosts[1])
             stopped = asyncio.Event()
             self.keep_sending(fleet, fleet.hosts[1], stopped)
-            await self.watch(fleet, accepted)
+            await self.wait_past_limit(fleet, accepted)
             stopped.set()
             for rule in rules:
                 rule.hold_requests = False
@@ -143,10 +149,10 @@
             await self.check_no_new_work(fleet, accepted)
 
     async def test_everyone_loses_the_log_and_goes_on_serving(self) -> None:
-        """The log is out for all hosts for longer than the confirmation lasts.
+        """Stop the log for all hosts for longer than the confirmation is valid.
 
-        Nobody can have had a change accepted. The targets say that they
-        serve, so no request is refused for it.
+        No change can have been accepted meanwhile. The targets confirm that they
+        serve, so no request is refused with `no_target`.
         """
         async with Fleet(n_engines=2, tokens=50_000_000) as fleet:
             for host in fleet.hosts:
@@ -154,25 +160,27 @@
             await fleet.launcher.post_json(f"{fleet.log.url}/control", {"down": True})
             started = time.time()
             answers: list[CallerAnswer] = []
-            while time.time() < started + LIMIT_S:
+            while time.time() < started + NEW_WORK_LIMIT_S:
                 answers += [await fleet.chat(h, max_tokens=1) for h in fleet.hosts]
             refused = {answer.body for answer in answers if answer.status != 200}
             no_target = [body for body in refused if b"no_target" in body]
             self.assertEqual(no_target, [])
-            self.assertTrue(await self.has_started(fleet, started + LIMIT_S - 1.0))
+            self.assertTrue(
+                await self.has_started(fleet, started + NEW_WORK_LIMIT_S - 1.0)
+            )
 
     async def has_started(self, fleet: Fleet, moment: float) -> bool:
-        """Tell whether any target started anything after a moment."""
+        """Return whether any target started a request after a time."""
         executed = [await fleet.list_executed_at(engine) for engine in fleet.engines]
         return any(item["started"] > moment for items in executed for item in items)
 
     def start_chat(self, fleet: Fleet, host: Running) -> asyncio.Task[Any]:
-        """Send a request and keep its task."""
+        """Start a request in a task that the teardown waits for."""
         task = asyncio.create_task(fleet.chat(host, max_tokens=5))
-        self.sent.append(task)
+        self.tasks.append(task)
         return task
 
     async def is_sending(self, fleet: Fleet, host: Running, n_requests: int) -> bool:
-        """Tell whether a host has so many requests under way to targets."""
+        """Return whether a host has at least `n_requests` active at targets."""
         targets = await fleet.launcher.get_json(f"{host.operator_url}/targets")
         return bool(sum(target["active"] for target in targets) >= n_requests)
--- a/tests/promises/test_membership.py
+++ b/tests/promises/test_membership.py
@@ -1,4 +1,4 @@
-"""Show that hosts come, go and are found without anybody's word being needed."""
+"""Test that joining, lost and returning hosts are detected without an operator."""
 
 import asyncio
 import unittest
@@ -14,17 +14,17 @@
 from trefoilstage.configuration.fold import HostEntry
 from trefoilstage.ledger.state import DrawState, DrawStatus, LedgerState
 
-FAST = {"log_timeout_s": 0.5, "log_poll_s": 0.5}
+FAST_LOG = {"log_timeout_s": 0.5, "log_poll_s": 0.5}
 
 
-async def list_hosts(fleet: Fleet, host: Running) -> set[str]:
+async def list_host_names(fleet: Fleet, host: Running) -> set[str]:
     """Return the names of the hosts that a host knows."""
     known = await fleet.launcher.get_json(f"{host.operator_url}/hosts")
     return {entry["host"] for entry in known}
 
 
-class RingTest(unittest.TestCase):
-    """Choose whom to watch."""
+class PeerSelectionTest(unittest.TestCase):
+    """Test which peers a host watches."""
 
     def test_each_host_of_a_large_fleet_watches_few_and_its_partners(self) -> None:
         names = [f"host-{number}" for number in range(410)]
@@ -66,19 +66,19 @@
         board.watched = frozenset({"host-1"})
         entries = board.config.hosts
         self.assertTrue(board.is_peer_live(entries["host-9"]), "unwatched")
-        self.assertFalse(board.is_peer_live(entries["host-1"]), "silent")
+        self.assertFalse(board.is_peer_live(entries["host-1"]), "no heartbeats")
 
 
 class MembershipTest(unittest.IsolatedAsyncioTestCase):
-    """Kill, cut and add hosts."""
+    """Test the list of hosts when hosts are killed, cut off and added."""
 
     async def test_killed_host_is_forgotten_and_a_cut_one_returns(self) -> None:
-        """Kill one host, and cut another from all for longer than a host is missed.
+        """Kill one host, and cut another off for longer than `forget_after_s`.
 
-        Both are taken off the list of hosts. The one that was only cut sees
-        itself gone when the cut is lifted, announces itself and is back.
+        Both are removed from the list of hosts. When the cut ends, the cut host
+        notices its removal, announces itself and is listed again.
         """
-        settings = {"forget_after_s": 1.0, "suspect_after_s": 0.5, **FAST}
+        settings = {"forget_after_s": 1.0, "suspect_after_s": 0.5, **FAST_LOG}
         async with Fleet(n_hosts=4, n_engines=0, host_settings=settings) as fleet:
             first, cut, killed = fleet.hosts[0], fleet.hosts[2], fleet.hosts[3]
             await fleet.launcher.kill(killed.name)
@@ -87,22 +87,22 @@
             fleet.cut_apart([cut], others)
 
             async def are_gone() -> bool:
-                return await list_hosts(fleet, first) == {"host-0", "host-1"}
+                return await list_host_names(fleet, first) == {"host-0", "host-1"}
 
-            await wait_for(are_gone, "the lost hosts to be forgotten")
+            await wait_for(are_gone, "the lost hosts to be removed")
             fleet.heal()
 
             async def is_back() -> bool:
-                return cut.name in await list_hosts(fleet, first)
+                return cut.name in await list_host_names(fleet, first)
 
             await wait_for(is_back, "the cut host to announce itself")
 
     async def test_large_fleet_recovers_a_lost_hosts_draw(self) -> None:
-        """Kill one of twelve hosts, of which each watches only a few, with a draw.
+        """Kill a host that has a draw, in a fleet of twelve.
 
-        The draw's witness watches its holder beside its few, so it notices,
-        seals the draw, and the tokens that were not spent are free again. The
-        few that watch it also take it off the list of hosts.
+        Each host watches only a few peers. The draw's witness also watches the
+        holder, so it detects the loss and seals the draw, and the unspent tokens are
+        free again. The hosts that watch the lost host remove it from the list.
         """
         settings = {"forget_after_s": 2.0}
         async with Fleet(n_hosts=12, host_settings=settings) as fleet:
@@ -124,42 +124,42 @@
             await wait_for(is_recovered, "the draw to be sealed")
 
             async def is_gone() -> bool:
-                return lost.name not in await list_hosts(fleet, fleet.hosts[0])
+                return lost.name not in await list_host_names(fleet, fleet.hosts[0])
 
-            await wait_for(is_gone, "the lost host to be taken off")
+            await wait_for(is_gone, "the lost host to be removed")
 
     async def test_newcomer_without_log_learns_the_state_from_a_listed_peer(
         self,
     ) -> None:
         """Start a host that has never reached the log.
 
-        It finds a peer in the platform's list, reads the records from it, and
-        has the files in force. Its own announcement goes through the peer.
+        It finds a peer in the platform's host list, reads the records from the peer
+        and applies the files. The peer relays its announcement to the log.
         """
-        async with Fleet(n_hosts=1, n_engines=0, host_settings=FAST) as fleet:
+        async with Fleet(n_hosts=1, n_engines=0, host_settings=FAST_LOG) as fleet:
             listed = await self.start_listed(fleet)
             fleet.proxies["log"].cut("127.0.1.3")
-            newcomer = await fleet.start_host("host-2")
-            await self.wait_same_files(fleet, listed, newcomer)
+            new_host = await fleet.start_host("host-2")
+            await self.wait_until_files_match(fleet, listed, new_host)
 
     async def test_newcomer_to_an_expired_log_takes_a_peers_state(self) -> None:
-        """Start a host when all records but the last have expired.
+        """Start a host when all records except the last have expired.
 
-        The log holds no checkpoint to start from. The newcomer takes the state
-        of a listed peer, reads on from there, and serves.
+        The log has no checkpoint to start from. The new host reads the state of a
+        listed peer, continues to read the log from there, and serves.
         """
-        async with Fleet(n_hosts=1, n_engines=0, host_settings=FAST) as fleet:
+        async with Fleet(n_hosts=1, n_engines=0, host_settings=FAST_LOG) as fleet:
             listed = await self.start_listed(fleet)
             control = f"{fleet.log.url}/control"
             await fleet.launcher.post_json(control, {"retention": 1})
             await fleet.publish("20-a.toml", "[budgets.extra]\ntokens = 1\n")
-            newcomer = await fleet.start_host("host-2")
-            await self.wait_same_files(fleet, listed, newcomer)
+            new_host = await fleet.start_host("host-2")
+            await self.wait_until_files_match(fleet, listed, new_host)
 
     async def start_listed(self, fleet: Fleet) -> Running:
-        """Start the platform's list and a host that is on it."""
+        """Start the platform's host list and a host that is listed there."""
         platform = await fleet.launcher.start_standin("hosts", "hosts", "--lag-s=0.1")
-        fleet.host_settings = {**FAST, "host_list_url": platform.url}
+        fleet.host_settings = {**FAST_LOG, "host_list_url": platform.url}
         listed = await fleet.start_host("host-1")
 
         async def is_listed() -> bool:
@@ -169,14 +169,16 @@
         await wait_for(is_listed, "the list to show the host")
         return listed
 
-    async def wait_same_files(self, fleet: Fleet, old: Running, new: Running) -> None:
-        """Wait until a new host serves, with the same files as an old one."""
+    async def wait_until_files_match(
+        self, fleet: Fleet, old: Running, new: Running
+    ) -> None:
+        """Wait until a new host serves; check that it has the files of an old one."""
 
         async def is_serving() -> bool:
             url = f"{new.operator_url}/status"
             return bool((await fleet.launcher.get_json(url))["phase"] == "serving")
 
-        await wait_for(is_serving, "the newcomer to serve")
+        await wait_for(is_serving, "the new host to serve")
         files = [
             await fleet.launcher.get_json(f"{host.operator_url}/config/files")
             for host in (old, new)
--- a/tests/promises/test_refusal.py
+++ b/tests/promises/test_refusal.py
@@ -1,4 +1,4 @@
-"""Show that what is refused as not run was not run, and that refusals are typed."""
+"""Test that requests refused as "not run" were not run, and that refusals are typed."""
 
 import asyncio
 import itertools
@@ -17,13 +17,13 @@
 CHAT = "/v1/chat/completions"
 BOOKING = "/services/booking/confirm"
 DEADLINE_S = 30.0
-TOO_LARGE = 1_100_000
-GOOD = {"model": "assistant", "messages": [{"role": "user", "content": "?"}]}
+TOO_LARGE_BYTES = 1_100_000
+VALID_CHAT = {"model": "assistant", "messages": [{"role": "user", "content": "?"}]}
 
 
 @dataclass(frozen=True, kw_only=True)
-class Case:
-    """Describe one bad request and its refusal."""
+class BadRequest:
+    """Describe one invalid request and its expected refusal."""
 
     status: int
     reason: str
@@ -35,88 +35,93 @@
 
 
 def make_chat(**changes: object) -> bytes:
-    """Return a chat request's body with changes."""
-    return json.dumps({**GOOD, **changes}).encode()
+    """Return a valid chat request's body with some fields changed."""
+    return json.dumps({**VALID_CHAT, **changes}).encode()
 
 
-def set_header(name: str, value: str) -> tuple[tuple[str, str], ...]:
-    """Return one header."""
+def make_headers(name: str, value: str) -> tuple[tuple[str, str], ...]:
+    """Return headers with one entry."""
     return ((name, value),)
 
 
 async def send_chunks() -> AsyncIterator[bytes]:
-    """Yield a body that is too large, without saying how long it is."""
-    for _ in range(TOO_LARGE // 10_000):
+    """Yield a body that is too large, so that it is sent without a length."""
+    for _ in range(TOO_LARGE_BYTES // 10_000):
         yield b" " * 10_000
 
 
-DEADLINE = "X-Deadline-Ms"
-KEY = "Idempotency-Key"
-LONE_SURROGATE = (
+DEADLINE_HEADER = "X-Deadline-Ms"
+KEY_HEADER = "Idempotency-Key"
+LONE_SURROGATE_BODY = (
     rb'{"model":"assistant","messages":[{"role":"user","content":"\ud800"}]}'
 )
-NUMBERS = itertools.count()
-CASES = [
-    Case(status=400, reason="bad_request", body=b"{"),
-    Case(status=400, reason="bad_request", body=b""),
-    Case(status=400, reason="bad_request", body=b"\xff\xfe"),
-    Case(status=400, reason="bad_request", body=b"[" * 100_000),
-    Case(status=400, reason="bad_request", body=LONE_SURROGATE),
-    Case(status=400, reason="bad_request", body=make_chat(messages=3)),
-    Case(status=400, reason="bad_request", body=make_chat(messages=[])),
-    Case(status=400, reason="bad_request", body=make_chat(max_tokens="5")),
-    Case(status=400, reason="bad_request", body=make_chat(max_tokens=-1)),
-    Case(status=400, reason="bad_request", body=make_chat(n=2)),
-    Case(status=404, reason="unknown_model", body=make_chat(model="other")),
-    Case(status=413, reason="body_too_large", body=b" " * TOO_LARGE),
-    Case(status=413, reason="body_too_large", body=send_chunks),
-    Case(status=401, reason="unauthorized", body=make_chat(), bearer=None),
-    Case(status=401, reason="unauthorized", body=make_chat(), bearer="Bearer no"),
-    Case(status=401, reason="unauthorized", body=make_chat(), bearer=SECRET),
-    Case(status=401, reason="unauthorized", body=make_chat(), bearer="Bearer é"),
-    Case(
+KEY_NUMBERS = itertools.count()
+BAD_REQUESTS = [
+    BadRequest(status=400, reason="bad_request", body=b"{"),
+    BadRequest(status=400, reason="bad_request", body=b""),
+    BadRequest(status=400, reason="bad_request", body=b"\xff\xfe"),
+    BadRequest(status=400, reason="bad_request", body=b"[" * 100_000),
+    BadRequest(status=400, reason="bad_request", body=LONE_SURROGATE_BODY),
+    BadRequest(status=400, reason="bad_request", body=make_chat(messages=3)),
+    BadRequest(status=400, reason="bad_request", body=make_chat(messages=[])),
+    BadRequest(status=400, reason="bad_request", body=make_chat(max_tokens="5")),
+    BadRequest(status=400, reason="bad_request", body=make_chat(max_tokens=-1)),
+    BadRequest(status=400, reason="bad_request", body=make_chat(n=2)),
+    BadRequest(status=404, reason="unknown_model", body=make_chat(model="other")),
+    BadRequest(status=413, reason="body_too_large", body=b" " * TOO_LARGE_BYTES),
+    BadRequest(status=413, reason="body_too_large", body=send_chunks),
+    BadRequest(status=401, reason="unauthorized", body=make_chat(), bearer=None),
+    BadRequest(status=401, reason="unauthorized", body=make_chat(), bearer="Bearer no"),
+    BadRequest(status=401, reason="unauthorized", body=make_chat(), bearer=SECRET),
+    BadRequest(status=401, reason="unauthorized", body=make_chat(), bearer="Bearer é"),
+    BadRequest(
         status=400,
         reason="bad_request",
         body=make_chat(),
-        headers=set_header("X-Priority", "high"),
+        headers=make_headers("X-Priority", "high"),
     ),
-    Case(
+    BadRequest(
         status=400,
         reason="bad_request",
         body=make_chat(),
-        headers=set_header(DEADLINE, "-1"),
+        headers=make_headers(DEADLINE_HEADER, "-1"),
     ),
-    Case(
+    BadRequest(
         status=429,
         reason="deadline",
         body=make_chat(),
-        headers=set_header(DEADLINE, "0"),
+        headers=make_headers(DEADLINE_HEADER, "0"),
     ),
-    Case(status=400, reason="bad_request", headers=set_header(KEY, "")),
-    Case(status=400, reason="bad_request", headers=set_header(KEY, "k" * 201)),
-    Case(status=400, reason="bad_request", headers=set_header(KEY, "é")),
-    Case(status=400, reason="bad_request", headers=((KEY, "a"), (KEY, "b"))),
-    Case(status=405, reason="method_not_allowed", method="GET"),
-    Case(status=404, reason="unknown_path", path="/v2/chat", method="PATCH"),
-    Case(status=404, reason="unknown_service", path="/services/other/confirm"),
-    Case(status=404, reason="unknown_service", path="/services/booking/other"),
-    Case(status=405, reason="method_not_allowed", path=BOOKING, method="PUT"),
-    Case(status=400, reason="key_required", path=BOOKING, body=b"{}"),
+    BadRequest(status=400, reason="bad_request", headers=make_headers(KEY_HEADER, "")),
+    BadRequest(
+        status=400, reason="bad_request", headers=make_headers(KEY_HEADER, "k" * 201)
+    ),
+    BadRequest(status=400, reason="bad_request", headers=make_headers(KEY_HEADER, "é")),
+    BadRequest(
+        status=400, reason="bad_request", headers=((KEY_HEADER, "a"), (KEY_HEADER, "b"))
+    ),
+    BadRequest(status=405, reason="method_not_allowed", method="GET"),
+    BadRequest(status=404, reason="unknown_path", path="/v2/chat", method="PATCH"),
+    BadRequest(status=404, reason="unknown_service", path="/services/other/confirm"),
+    BadRequest(status=404, reason="unknown_service", path="/services/booking/other"),
+    BadRequest(status=405, reason="method_not_allowed", path=BOOKING, method="PUT"),
+    BadRequest(status=400, reason="key_required", path=BOOKING, body=b"{}"),
 ]
 
 
 class RefusalTest(unittest.IsolatedAsyncioTestCase):
-    """Send what can't be run, and break what should run it."""
+    """Send invalid requests, and valid ones under faults."""
 
     async def test_bad_requests(self) -> None:
-        """Send every kind of bad request to one host, then a good one.
+        """Send every kind of invalid request to one host, then a valid one.
 
-        Each gets its own typed refusal, with nothing run and nothing spent, and
-        never a traceback. The bearer keys show in no log line, dump or answer.
+        Each invalid request gets its own typed refusal, with nothing run and nothing
+        spent, and never a traceback. The bearer keys appear in no log line, state dump
+        or answer.
         """
         async with Fleet(n_hosts=1) as fleet:
             host = fleet.hosts[0]
-            for case in CASES:
+            for case in BAD_REQUESTS:
                 with self.subTest(
                     reason=case.reason, path=case.path, case=str(case)[:200]
                 ):
@@ -130,7 +135,7 @@
             good = await fleet.chat(host, secret=OTHER_SECRET)
             self.assertEqual(good.status, 200, good.body)
             await fleet.wait_for_spend(0)
-            await self._check_output(fleet, host)
+            await self._check_no_secrets_shown(fleet, host)
 
     async def _send_garbage(self, host: Running) -> None:
         reader, writer = await asyncio.open_connection(
@@ -142,7 +147,7 @@
         self.assertIn(b" 400 ", answer.split(b"\r\n")[0])
         self.assertNotIn(b"Traceback", answer)
 
-    async def _check_output(self, fleet: Fleet, host: Running) -> None:
+    async def _check_no_secrets_shown(self, fleet: Fleet, host: Running) -> None:
         host.signal(signal.SIGUSR1)
         await wait_for(
             lambda: any(line.startswith('{"') for line in host.lines), "the dump"
@@ -154,13 +159,13 @@
             self.assertNotIn(secret, output)
 
     async def test_key_with_another_body(self) -> None:
-        """Send a key again with another body, at every host, and for a booking.
+        """Reuse a key with another body, at every host, and for a booking.
 
-        The second body is refused everywhere, with nothing run. Spacing, the order
-        of a body's fields and the way of answering make no other request.
+        The other body is refused at every host, with nothing run. Whitespace, the
+        order of the body's fields and streaming don't make it another request.
         """
         async with Fleet() as fleet:
-            headers = {KEY: "briefing-7"}
+            headers = {KEY_HEADER: "briefing-7"}
             first = await fleet.chat(fleet.hosts[0], headers=headers)
             for host in fleet.hosts:
                 other = await fleet.chat(host, headers=headers, text="Another?")
@@ -185,11 +190,11 @@
             self.assertEqual(len(await fleet.list_effects()), 1)
 
     async def test_lookup_on_several_servers(self) -> None:
-        """Lose a lookup's answer, with a second server that lives or is gone.
+        """Lose the answer of a lookup, with a second server that is up or down.
 
         A call that may be repeated is sent to the next server, and the caller gets
         its answer. When no other server can be reached, the first may still have
-        run it: the caller is told "unknown", never "not run".
+        run the call: the caller gets the effect "unknown", never "not run".
         """
         async with Fleet(n_hosts=1) as fleet:
             host = fleet.hosts[0]
@@ -198,7 +203,7 @@
             await publish_lookups(fleet, "two", urls)
             await publish_lookups(fleet, "one", [urls[0], "http://127.0.0.1:1"])
             for number in range(4):
-                headers = {KEY: f"lookup-{number}"}
+                headers = {KEY_HEADER: f"lookup-{number}"}
                 await fleet.control(fleet.service, lose_answers=1)
                 answer = await fleet.call(
                     host, "/services/two/get", {}, headers=headers
@@ -212,11 +217,12 @@
             self.assertEqual(len(await fleet.list_effects()), 12)
 
     async def test_not_run_under_faults(self) -> None:
-        """Fail, break and cut engines, cut the peers, stop the log, drain a host.
+        """Guard against "not run" for requests that ran, under six faults.
 
-        During each fault every host gets requests and bookings. What is answered
-        "not run" must be in no meter, and it is answered long before its deadline
-        with a time to come back.
+        Engines fail before or after the prompt or are cut off, peers are cut off, the
+        log is down, a host drains. During each fault every host gets chat requests and
+        bookings. A request refused as "not run" must be in no meter; every refusal has
+        a Retry-After and comes within half of the deadline.
         """
         async with Fleet(n_engines=2) as fleet:
             for fault in (
@@ -229,27 +235,27 @@
             ):
                 await fault(fleet)
                 with self.subTest(fault=fault.__name__):
-                    n_refused = await self._check_answers(fleet, fault.__name__)
+                    n_refused = await self._count_refused(fleet, fault.__name__)
                     if fault is not cut_peers:
                         self.assertGreater(n_refused, 0)
                 if fault is not drain_host:
-                    await mend(fleet)
+                    await clear_faults(fleet)
 
-    async def _check_answers(self, fleet: Fleet, name: str) -> int:
+    async def _count_refused(self, fleet: Fleet, name: str) -> int:
         calls = [
-            self._check_answer(fleet, host, f"{name}-{number}", books=books)
+            self._is_refused(fleet, host, f"{name}-{number}", books=books)
             for host in fleet.hosts
             for number in range(4)
             for books in (False, True)
         ]
         return sum(await asyncio.gather(*calls))
 
-    async def _check_answer(
+    async def _is_refused(
         self, fleet: Fleet, host: Running, key: str, *, books: bool
     ) -> bool:
         key = f"{key}-{host.name}"
         started = time.monotonic()
-        headers = {DEADLINE: str(int(DEADLINE_S * 1000))}
+        headers = {DEADLINE_HEADER: str(int(DEADLINE_S * 1000))}
         if books:
             answer = await fleet.book(host, key)
         else:
@@ -273,13 +279,13 @@
 
 
 async def fail_engines(fleet: Fleet) -> None:
-    """Let the engines answer every request with status 500, running nothing."""
+    """Let the engines answer every request with status 500 without running it."""
     for engine in fleet.engines:
         await fleet.control(engine, fail_fast=True)
 
 
 async def fail_engines_midway(fleet: Fleet) -> None:
-    """Let the engines run a request's prompt and answer with status 500."""
+    """Let the engines process each prompt and then answer with status 500."""
     for engine in fleet.engines:
         await fleet.control(engine, fail_after_prompt=True)
 
@@ -296,7 +302,7 @@
 
 
 async def stop_log(fleet: Fleet) -> None:
-    """Take the log away."""
+    """Stop the log and wait until all hosts have noticed."""
     await fleet.control(fleet.log, down=True)
 
     async def is_noticed() -> bool:
@@ -307,11 +313,11 @@
                 return False
         return True
 
-    await wait_for(is_noticed, "the hosts to notice")
+    await wait_for(is_noticed, "the hosts to detect the outage")
 
 
 async def drain_host(fleet: Fleet) -> None:
-    """Let one host drain while a slow answer keeps it alive."""
+    """Start to drain one host, which a slow answer keeps running."""
     await fleet.control(fleet.engines[0], tokens_per_s=5)
     await fleet.control(fleet.engines[1], tokens_per_s=5)
     n_before = len(await fleet.list_executed())
@@ -325,8 +331,8 @@
     fleet.hosts[2].signal(signal.SIGTERM)
 
 
-async def mend(fleet: Fleet) -> None:
-    """Lift every fault and wait until all hosts answer."""
+async def clear_faults(fleet: Fleet) -> None:
+    """Remove all faults and wait until all hosts answer."""
     fleet.heal()
     await fleet.control(fleet.log)
     for engine in fleet.engines:
@@ -342,13 +348,13 @@
         ]
         return all(answer.status == 200 for answer in answers)
 
-    # Engines that failed are left alone for a while; a later fault would then
-    # find nothing sent to them.
+    # Hosts send nothing to failed engines for some time; without this wait, the next
+    # fault would affect no request.
     await wait_for(is_mended, "all hosts to answer")
 
 
 async def publish_lookups(fleet: Fleet, name: str, urls: list[str]) -> None:
-    """Add a service with one call that may be repeated, and wait for it."""
+    """Publish a service with one repeatable call, and wait until the host has it."""
     lines = [
         f"[services.{name}]",
         f"urls = {json.dumps(urls)}",
@@ -368,12 +374,12 @@
 
 
 def make_key() -> str:
-    """Return a key that was never used."""
-    return f"key-{next(NUMBERS)}"
+    """Return an unused idempotency key."""
+    return f"key-{next(KEY_NUMBERS)}"
 
 
-async def send(fleet: Fleet, host: Running, case: Case) -> CallerAnswer:
-    """Send a case and read the whole answer."""
+async def send(fleet: Fleet, host: Running, case: BadRequest) -> CallerAnswer:
+    """Send an invalid request and read the whole answer."""
     body = case.body() if callable(case.body) else case.body
     headers = list(case.headers)
     if case.bearer is not None:
--- a/tests/promises/test_shutdown.py
+++ b/tests/promises/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Prove that a graceful shutdown cuts off no request and strands no token."""
+"""Test that a graceful shutdown cuts off no request and leaves no token held."""
 
 import asyncio
 import json
@@ -12,11 +12,11 @@
 from tests.answers import CallerAnswer
 from tests.common import Fleet
 
-SLOW_ENGINE = ("--tokens-per-s", "20")
-EXIT_S = 15.0
+SLOW_ENGINE_OPTIONS = ("--tokens-per-s", "20")
+EXIT_TIMEOUT_S = 15.0
 
 
-async def wait_settled(fleet: Fleet, host: Running) -> None:
+async def wait_until_settled(fleet: Fleet, host: Running) -> None:
     """Wait until nothing is held and the spend is what the engines executed."""
 
     async def is_settled() -> bool:
@@ -26,45 +26,45 @@
         settled = budget["held"] == 0 and budget["spent"] == executed
         return bool(whole and settled)
 
-    await wait_for(is_settled, "all draws to be handed back")
+    await wait_for(is_settled, "all draws to be returned")
 
 
-async def wait_exit(fleet: Fleet, host: Running) -> int:
-    """Wait for a host to end and return its exit code."""
-    code = await asyncio.wait_for(host.process.wait(), EXIT_S)
+async def wait_for_exit(fleet: Fleet, host: Running) -> int:
+    """Wait until a host exits and return its exit code."""
+    code = await asyncio.wait_for(host.process.wait(), EXIT_TIMEOUT_S)
     fleet.launcher.running.pop(host.name, None)
     return code
 
 
 @dataclass(kw_only=True)
 class Balancer:
-    """Send requests to hosts that say they are healthy, and note each end."""
+    """Send requests to hosts whose /health is good, and count the results."""
 
     fleet: Fleet
     hosts: list[Running]
     n_whole: int = 0
     n_refused: int = 0
-    broken: list[str] = field(default_factory=list)
-    stopped: bool = False
-    _turn: int = 0
+    failures: list[str] = field(default_factory=list)
+    is_stopped: bool = False
+    _n_picks: int = 0
 
     async def run(self) -> None:
-        """Send one request after another until stopped."""
-        while not self.stopped:
+        """Send one request after another until `is_stopped` is set."""
+        while not self.is_stopped:
             host = await self._pick()
             try:
                 answer = await self.fleet.chat(host, max_tokens=8, stream=True)
             except aiohttp.ClientConnectorError:
                 continue
             except aiohttp.ClientError as error:
-                self.broken.append(f"{host.name}: {error!r}")
+                self.failures.append(f"{host.name}: {error!r}")
                 continue
-            self._note(host, answer)
+            self._count_answer(host, answer)
 
     async def _pick(self) -> Running:
         while True:
-            self._turn += 1
-            host = self.hosts[self._turn % len(self.hosts)]
+            self._n_picks += 1
+            host = self.hosts[self._n_picks % len(self.hosts)]
             try:
                 async with self.fleet.launcher.session.get(
                     f"{host.caller_url}/health"
@@ -75,7 +75,7 @@
                 pass
             await asyncio.sleep(0)
 
-    def _note(self, host: Running, answer: CallerAnswer) -> None:
+    def _count_answer(self, host: Running, answer: CallerAnswer) -> None:
         if answer.status == 200 and answer.is_whole_stream:
             self.n_whole += 1
             return
@@ -83,21 +83,23 @@
         if error.get("effect") == "not_run" and "Retry-After" in answer.headers:
             self.n_refused += 1
             return
-        self.broken.append(f"{host.name}: {answer.status} {answer.body[-200:]!r}")
+        self.failures.append(f"{host.name}: {answer.status} {answer.body[-200:]!r}")
 
 
 class ShutdownTest(unittest.IsolatedAsyncioTestCase):
-    """Stop hosts while they work."""
+    """Stop hosts that have requests or draws."""
 
     async def test_two_signals_cut_no_slow_stream(self) -> None:
-        """Send SIGTERM twice to a host with slow streams under way.
+        """Send SIGTERM twice to a host during slow streams.
 
-        Every stream comes to its explicit end. A request that still reaches
-        the host is refused with a time to come back, on a connection that is
-        closed. The host exits with 0 and its draws are back in the budget.
+        Every stream is sent up to its end marker. A request that still reaches the
+        host is refused with a Retry-After, and its connection is closed. The host
+        exits with 0 and its draws are returned to the budget.
         """
         settings = {"flush_timeout_s": 0.5}
-        async with Fleet(engine_options=SLOW_ENGINE, host_settings=settings) as fleet:
+        async with Fleet(
+            engine_options=SLOW_ENGINE_OPTIONS, host_settings=settings
+        ) as fleet:
             host, other = fleet.hosts[:2]
             streams = [
                 asyncio.create_task(fleet.chat(host, max_tokens=80, stream=True))
@@ -116,7 +118,7 @@
                 async with fleet.launcher.session.get(url) as response:
                     return response.status == 503
 
-            await wait_for(is_leaving, "the host to be seen leaving")
+            await wait_for(is_leaving, "/health to report the shutdown")
             refused = await fleet.chat(host)
             self.assertEqual(refused.status, 503)
             error = json.loads(refused.body)["error"]
@@ -127,18 +129,20 @@
             host.signal(signal.SIGTERM)
             answers = await asyncio.gather(*streams)
             self.assertTrue(all(answer.is_whole_stream for answer in answers))
-            self.assertEqual(await wait_exit(fleet, host), 0)
-            await wait_settled(fleet, other)
+            self.assertEqual(await wait_for_exit(fleet, host), 0)
+            await wait_until_settled(fleet, other)
 
     async def test_rolling_replacement_under_load(self) -> None:
-        """Replace every host, one after the other, while callers go on.
+        """Replace all hosts, one after another, while callers send requests.
 
-        Callers go where /health is good, as the balancer does. Each answer is
-        whole, or a refusal that says "not run" with a time to come back; none
-        is cut. When the last old host has gone, nothing is held any more.
+        Callers choose hosts whose /health is good, as the load balancer does. Each
+        answer is complete, or a "not run" refusal with a Retry-After; none is cut
+        off. When the last old host has exited, no tokens are held.
         """
         settings = {"drain_grace_s": 0.3}
-        async with Fleet(engine_options=SLOW_ENGINE, host_settings=settings) as fleet:
+        async with Fleet(
+            engine_options=SLOW_ENGINE_OPTIONS, host_settings=settings
+        ) as fleet:
             balancer = Balancer(fleet=fleet, hosts=list(fleet.hosts))
             callers = [asyncio.create_task(balancer.run()) for _ in range(6)]
             names = [f"host-{number + 3}" for number in range(3)]
@@ -150,19 +154,19 @@
                     lambda seen=before: balancer.n_whole > seen + 5, "more answers"
                 )
                 old.signal(signal.SIGTERM)
-                self.assertEqual(await wait_exit(fleet, old), 0)
+                self.assertEqual(await wait_for_exit(fleet, old), 0)
                 balancer.hosts.remove(old)
-            balancer.stopped = True
+            balancer.is_stopped = True
             await asyncio.gather(*callers)
-            self.assertEqual(balancer.broken, [])
+            self.assertEqual(balancer.failures, [])
             self.assertGreater(balancer.n_whole, 20)
-            await wait_settled(fleet, balancer.hosts[0])
+            await wait_until_settled(fleet, balancer.hosts[0])
 
     async def test_drain_while_the_log_is_down_is_bounded(self) -> None:
-        """Stop a host with draws in hand while the log is down.
+        """Stop a host that has draws while the log is down.
 
-        Its draws can't be handed back, so it says so and ends all the same,
-        with 0. When the log is back, the draws' witnesses release the rest.
+        The host can't return its draws, so it logs that and still exits with 0. When
+        the log is back, the draws' witnesses release the rest.
         """
         settings = {"flush_timeout_s": 1.0, "log_timeout_s": 0.5}
         async with Fleet(host_settings=settings) as fleet:
@@ -172,9 +176,11 @@
             control = f"{fleet.log.url}/control"
             await fleet.launcher.post_json(control, {"down": True})
             host.signal(signal.SIGTERM)
-            self.assertEqual(await wait_exit(fleet, host), 0)
-            said = [line for line in host.lines if "drain_incomplete" in line]
-            self.assertEqual(len(said), 1, host.lines[-5:])
+            self.assertEqual(await wait_for_exit(fleet, host), 0)
+            incomplete_lines = [
+                line for line in host.lines if "drain_incomplete" in line
+            ]
+            self.assertEqual(len(incomplete_lines), 1, host.lines[-5:])
             await fleet.launcher.post_json(control, {"down": False})
 
             async def is_released() -> bool:
@@ -189,13 +195,13 @@
 
 
 class CrashTest(unittest.IsolatedAsyncioTestCase):
-    """Let a part of a host fail."""
+    """Test a host that fails during startup."""
 
     async def test_host_that_cannot_listen_ends_with_an_error(self) -> None:
-        """Give a host a port that is taken.
+        """Start a host on a port that is in use.
 
-        The process ends with a code that is not 0 and says why, so that
-        whoever runs it starts another; it never stays up half-started.
+        The process must exit with a non-zero code and log the reason, so that its
+        supervisor can restart it; it must not keep running partially started.
         """
         async with Fleet(n_hosts=1, n_engines=0) as fleet:
             taken = fleet.hosts[0].ports["caller_port"]
@@ -211,7 +217,7 @@
             )
             await wait_for(lambda: "host-9" in launcher.running, "the start")
             running = launcher.running["host-9"]
-            code = await asyncio.wait_for(running.process.wait(), EXIT_S)
+            code = await asyncio.wait_for(running.process.wait(), EXIT_TIMEOUT_S)
             start.cancel()
             self.assertEqual(code, 1)
             self.assertIn("address already in use", " ".join(running.lines))
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -121,7 +121,7 @@
         await self._apply(FaultRule(delay_s=self.generator.uniform(0.05, 0.5)), 2.0)
 
     async def _lose_store(self) -> None:
-        doors = [host.door for host in self.fleet.hosts.values()]
+        doors = [host.store_server for host in self.fleet.hosts.values()]
         for door in doors:
             door.is_refusing = True
         await self._wait(3.0)
@@ -139,11 +139,11 @@
 
     async def _drain_target(self) -> None:
         number = self.generator.randrange(self.fleet.n_targets)
-        await self.fleet.list_target(number, state="draining")
+        await self.fleet.write_target(number, state="draining")
         await self._wait(2.0)
-        await self.fleet.list_target(number)
+        await self.fleet.write_target(number)
 
     async def _top_up(self) -> None:
         self.version += 1
         self.fleet.prepaid += self.generator.randrange(500, 3_000)
-        await self.fleet.configure(self.version)
+        await self.fleet.write_configuration(self.version)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -100,7 +100,7 @@
     before = targets.n_crashes
     for _ in range(N_PROBES):
         await callers.send_crashing()
-        await targets.settle()
+        await targets.wait_until_restarted()
     n_crashes = targets.n_crashes - before
     if n_crashes > MAX_CALM_CRASHES:
         return [f"calm hosts let one request crash {n_crashes} of {N_PROBES} targets"]
