--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Soak real hosts in random faults and check the promises while they run."""
+"""Soak test: real hosts under random faults, checked for broken guarantees."""
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Call hosts as callers do, on connections that are kept, and remember the answers."""
+"""Callers that send requests on persistent connections and record the answers."""
 
 import asyncio
 import random
@@ -10,48 +10,48 @@
 from tests.promises.crashing import CRASHING_BODY
 from tests.promises.fleet import PlatformFleet
 
-# Longer than the 5 s that the hosts are told.
+# Longer than the 5 s of the Deadline-Ms header.
 CALL_TIMEOUT_S = 7.0
-PAUSE_S = 0.02
-# Each subject has a target of its own, so that all targets get prompts.
+CALL_INTERVAL_S = 0.02
+# Prompts of different subjects go to different targets, so all targets get some.
 N_SUBJECTS = 12
-STREAM_TOKENS = (100, 10)
+PROMPT_AND_OUTPUT_TOKENS = (100, 10)
 PATHS = ("/stream/x", "/stream-again/x", "/book/x", "/look/x")
 
 
 @dataclass(kw_only=True, slots=True)
 class Outcome:
-    """Hold what became of one request, as its caller saw it."""
+    """Describe one request and its answer, as its caller received it."""
 
     request: str
     path: str
-    status: int = 0  # 0 if no answer came
+    status: int = 0  # 0 if there was no answer
     sent: bytes = b""
     body: bytes = b""
-    whole: bool = False
+    is_whole: bool = False
     answered_request: str = ""
 
     @property
     def n_events(self) -> int:
-        """Return the events that reached the caller."""
+        """Return the number of events that reached the caller."""
         return self.body.count(b"\n\n")
 
 
 @dataclass(kw_only=True, slots=True)
 class Callers:
-    """Send requests of all kinds to all hosts until told to stop."""
+    """Send requests of all kinds to all hosts until `is_stopping` is set."""
 
     fleet: PlatformFleet
     generator: random.Random
     outcomes: list[Outcome] = field(default_factory=list)
-    crashing: list[Outcome] = field(default_factory=list)
-    stopping: bool = False
+    crashing_outcomes: list[Outcome] = field(default_factory=list)
+    is_stopping: bool = False
 
     async def run(self, number: int) -> None:
-        """Send one request after the other on kept connections."""
+        """Send one request after another on persistent connections."""
         n_sent = 0
         async with aiohttp.ClientSession() as session:
-            while not self.stopping:
+            while not self.is_stopping:
                 n_sent += 1
                 outcome = Outcome(
                     request=f"caller-{number}-{n_sent}",
@@ -59,21 +59,21 @@
                 )
                 self.outcomes.append(outcome)
                 await self._call(session, outcome)
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(CALL_INTERVAL_S)
 
     async def repeat_crashing(self) -> None:
-        """Send the request that crashes targets again and again."""
-        while not self.stopping:
+        """Send the request that crashes targets repeatedly."""
+        while not self.is_stopping:
             await self.send_crashing()
             await asyncio.sleep(self.generator.uniform(0.1, 1.0))
 
     async def send_crashing(self) -> None:
-        """Send the request that crashes targets once, to any host."""
-        number = len(self.crashing)
+        """Send the request that crashes targets once, to a random host."""
+        number = len(self.crashing_outcomes)
         outcome = Outcome(
             request=f"crashing-{number}", path="/stream/x", sent=CRASHING_BODY
         )
-        self.crashing.append(outcome)
+        self.crashing_outcomes.append(outcome)
         async with aiohttp.ClientSession() as session:
             await self._call(session, outcome)
 
@@ -82,7 +82,9 @@
         if not hosts:
             return
         host = self.fleet.hosts[self.generator.choice(hosts)]
-        tokens = STREAM_TOKENS if outcome.path.startswith("/stream") else (0, 0)
+        tokens = (
+            PROMPT_AND_OUTPUT_TOKENS if outcome.path.startswith("/stream") else (0, 0)
+        )
         own = outcome.request.replace("caller-", "")
         headers = {
             "Host": "club.example",
@@ -103,7 +105,7 @@
                 outcome.answered_request = response.headers.get("Attempt-Id", "")
                 async for data in response.content.iter_any():
                     outcome.body += data
-                outcome.whole = True
+                outcome.is_whole = True
         except (aiohttp.ClientError, TimeoutError):
-            # The host is gone or its answer broke off; `status` and `whole` say so.
+            # No host or an incomplete answer; `status` and `is_whole` show it.
             return
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,4 +1,4 @@
-"""Play one seed of the soak and return what broke a promise."""
+"""Run one seed of the soak test and return the broken guarantees."""
 
 import asyncio
 import random
@@ -11,23 +11,23 @@
 
 N_HOSTS = 3
 N_CALLERS = 8
-# Ends within a seed's time, so that the end of a budget is played as well.
+# Spent within a seed's duration, so that requests without budget are tested too.
 PREPAID_TOKENS = 50_000
-# An answer with one of these says that the request has not run and never will.
-NOT_RUN = (408, 421, 429, 503)
-OK = 200
+# These statuses mean that the request has not run and never will.
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+HTTP_OK = 200
 WHOLE_STREAM = b"".join(b"id: %d\ndata: %d\n\n" % (n, n) for n in range(1, 5))
 WHOLE_ANSWER = b"whole answer"
-# After this without a fault, every host has heard of what crashed targets.
-CALM_S = 4.0
+# After this time without a fault, every host has received the evidence of all crashes.
+SETTLE_S = 4.0
 N_PROBES = 6
-# What a host that was killed had seen is lost with it; as many repeats make it good.
-MAX_CALM_CRASHES = 3
+# A killed host's evidence of crashes is lost; this many more crashes replace it.
+MAX_SETTLED_CRASHES = 3
 
 
 @dataclass(kw_only=True, slots=True)
 class SoakResult:
-    """Hold what a seed played and what it found."""
+    """Describe the requests, faults and findings of one seed."""
 
     seed: int
     n_requests: int
@@ -37,23 +37,23 @@
 
 
 async def play(seed: int, duration_s: float) -> SoakResult:
-    """Start a fleet, call it under random faults, and check what came of it."""
+    """Start a fleet, call it under random faults, and check the results."""
     fleet = PlatformFleet(
         n_hosts=N_HOSTS, n_targets=3, prepaid=PREPAID_TOKENS, use_proxies=True
     )
     async with fleet:
-        # Apart, so that the order of the faults is the seed's alone.
+        # Separate generators, so that the order of the faults depends on the seed only.
         callers = Callers(fleet=fleet, generator=random.Random(-seed))
         faults = Faults(fleet=fleet, generator=random.Random(seed))
         targets = CrashingTargets(fleet=fleet)
         tasks = [asyncio.create_task(callers.run(n)) for n in range(N_CALLERS)]
         tasks.append(asyncio.create_task(callers.repeat_crashing()))
         await faults.run(duration_s)
-        callers.stopping = True
+        callers.is_stopping = True
         await asyncio.gather(*tasks)
-        findings = check(fleet, callers.outcomes + callers.crashing)
-        findings += check_sound(callers.outcomes)
-        findings += await check_crashing(targets, callers)
+        findings = list_violations(fleet, callers.outcomes + callers.crashing_outcomes)
+        findings += list_blocked_harmless_requests(callers.outcomes)
+        findings += await list_repeated_crashes(targets, callers)
         findings += [
             f"{host.name} ended by itself with {host.process.returncode}"
             for host in fleet.hosts.values()
@@ -64,27 +64,29 @@
     return SoakResult(
         seed=seed,
         n_requests=len(callers.outcomes),
-        n_served=sum(item.status == OK and item.whole for item in callers.outcomes),
-        faults=faults.log,
+        n_served=sum(
+            item.status == HTTP_OK and item.is_whole for item in callers.outcomes
+        ),
+        faults=faults.fault_names,
         findings=findings,
     )
 
 
-def check(fleet: PlatformFleet, outcomes: list[Outcome]) -> list[str]:
-    """Return what callers and targets saw that breaks a promise."""
-    findings = check_budget(fleet, outcomes)
+def list_violations(fleet: PlatformFleet, outcomes: list[Outcome]) -> list[str]:
+    """Return the guarantees that the outcomes and the targets' runs show as broken."""
+    findings = list_overspending(fleet, outcomes)
     for outcome in outcomes:
-        findings += check_answer(outcome)
+        findings += list_answer_violations(outcome)
         n_runs = count_runs(fleet, outcome.request)
         if n_runs > 1 and outcome.path in ("/book/x", "/stream/x"):
             findings.append(f"{outcome.request} {outcome.path} ran {n_runs} times")
-        if outcome.status in NOT_RUN and n_runs and outcome.path != "/look/x":
+        if outcome.status in NOT_RUN_STATUSES and n_runs and outcome.path != "/look/x":
             findings.append(f"{outcome.request} got {outcome.status} and ran")
     return findings
 
 
-def check_sound(outcomes: list[Outcome]) -> list[str]:
-    """Check that no sound request is taken for one that crashes targets."""
+def list_blocked_harmless_requests(outcomes: list[Outcome]) -> list[str]:
+    """Return the harmless requests that were blocked as crashing targets."""
     return [
         f"{outcome.request} {outcome.path} got {outcome.body!r}"
         for outcome in outcomes
@@ -92,23 +94,30 @@
     ]
 
 
-async def check_crashing(targets: CrashingTargets, callers: Callers) -> list[str]:
-    """Check that calm hosts stop sending the request that crashes targets."""
-    if targets.n_crashes < MAX_CALM_CRASHES:
+async def list_repeated_crashes(
+    targets: CrashingTargets, callers: Callers
+) -> list[str]:
+    """Return a finding if hosts without faults keep sending the crashing request."""
+    if targets.n_crashes < MAX_SETTLED_CRASHES:
         return []
-    await asyncio.sleep(CALM_S)
+    await asyncio.sleep(SETTLE_S)
     before = targets.n_crashes
     for _ in range(N_PROBES):
         await callers.send_crashing()
         await targets.wait_until_restarted()
     n_crashes = targets.n_crashes - before
-    if n_crashes > MAX_CALM_CRASHES:
-        return [f"calm hosts let one request crash {n_crashes} of {N_PROBES} targets"]
+    if n_crashes > MAX_SETTLED_CRASHES:
+        return [
+            f"after the faults one request crashed {n_crashes} of {N_PROBES} targets"
+        ]
     return []
 
 
-def check_budget(fleet: PlatformFleet, outcomes: list[Outcome]) -> list[str]:
-    """Count prompts once a request and the events that callers got."""
+def list_overspending(fleet: PlatformFleet, outcomes: list[Outcome]) -> list[str]:
+    """Return a finding if more than the prepaid tokens was spent.
+
+    The spend is each request's prompt, counted once, and the events that callers got.
+    """
     prompts = {
         run.request: run.prompt_tokens
         for target in fleet.targets
@@ -121,11 +130,11 @@
     return []
 
 
-def check_answer(outcome: Outcome) -> list[str]:
-    """Check that an answer is the caller's own, and whole if it looks so."""
+def list_answer_violations(outcome: Outcome) -> list[str]:
+    """Return a finding if an answer is another caller's, or only looks complete."""
     if outcome.answered_request not in ("", outcome.request):
         return [f"{outcome.request} got the answer of {outcome.answered_request}"]
-    if outcome.status != OK or not outcome.whole:
+    if outcome.status != HTTP_OK or not outcome.is_whole:
         return []
     stream = outcome.path.startswith("/stream")
     expected = WHOLE_STREAM if stream else WHOLE_ANSWER
@@ -135,5 +144,5 @@
 
 
 def count_runs(fleet: PlatformFleet, request: str) -> int:
-    """Return how many targets began to work on a request."""
+    """Return how many times targets started a request."""
     return sum(run.request == request for t in fleet.targets for run in t.runs)
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""Play short seeds of the soak, and each seed that ever failed."""
+"""Run the soak test with short seeds, and with each seed that has ever failed."""
 
 import unittest
 
@@ -9,16 +9,17 @@
 
 
 class SoakTest(unittest.IsolatedAsyncioTestCase):
-    """Test the promises under random faults with real processes."""
+    """Test the guarantees to callers under random faults with real processes."""
 
     async def test_no_seed_breaks_a_promise(self) -> None:
         """Call three hosts while they are killed, stopped, paused and cut off.
 
-        Callers send streams, bookings and lookups on kept connections; the store
-        loses answers, is slow or away, targets fail and leave, one request crashes each
-        target that runs it, the budget runs out and is raised. No budget is passed,
-        nothing runs twice that may run once, "not run" is true, each answer is the
-        caller's own and whole, and the crashing request alone is blocked.
+        Callers send streams, bookings and lookups on persistent connections. The store
+        loses replies, is slow or down, targets fail and drain, one request crashes each
+        target that runs it, the budget runs out and is raised. The budget is never
+        exceeded, no call that may run only once runs twice, a "not run" is true, each
+        answer is complete and the caller's own, and only the crashing request is
+        blocked.
         """
         for seed in SEEDS:
             with self.subTest(seed=seed):
