--- a/tests/promises/__init__.py
+++ b/tests/promises/__init__.py
@@ -1,1 +1,1 @@
-"""Test the guarantees to users on fleets of real processes."""
+"""Tests of the guarantees to callers and operators, with real processes."""
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Run real hosts under random faults and check the guarantees meanwhile."""
+"""Soak test: real hosts under random faults, checked for broken guarantees."""
