--- a/tests/components/fleet/test_board_updater.py
+++ b/tests/components/fleet/test_board_updater.py
@@ -1,4 +1,4 @@
-"""Test how a host applies records that a peer relays, and how often it reads."""
+"""Test how a host applies relayed records, and how often it reads the store."""
 
 import unittest
 from unittest import mock
@@ -28,7 +28,7 @@
     )
 
 
-class LapsedEntriesTest(unittest.TestCase):
+class ExpiredEntriesTest(unittest.TestCase):
     """Test the end of a store outage in which all targets' entries expired."""
 
     def start_in_outage(self, phase: TargetPhase) -> tuple[FleetBoard, BoardUpdater]:
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -89,7 +89,6 @@
         self.assertEqual(engine and engine.tokens_per_event, 5)
 
     def test_unknown_route_kind_is_at_most_once(self) -> None:
-        """Treat an unknown kind of route as at most once."""
         changed = json.loads(json.dumps(CONFIGURATION))
         changed["routes"][0]["kind"] = "new"
         route = decode_configuration(json.dumps(changed).encode()).routes[0]
@@ -193,7 +192,6 @@
         self.assertEqual(decode_item(found[1]).value, b"v")
 
     def test_truncated_response_is_store_unavailable(self) -> None:
-        """Decode truncated responses."""
         for data in (b"", b"\0" * 15, struct.pack(">QQ", 9, 0) + b"\0\0"):
             with self.assertRaises(StoreUnavailableError):
                 decode_records(data, 0)
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -42,7 +42,6 @@
         return dict(pairs)
 
     def test_request_is_decoded(self) -> None:
-        """Decode each field of a request."""
         request = self.read_request()
         self.assertEqual(request.host, "club.example")
         self.assertEqual((request.path, request.raw_target), ("/a/b", "/a/b?x=1"))
--- a/trefoilstage/assembly.py
+++ b/trefoilstage/assembly.py
@@ -208,7 +208,7 @@
 def make_session(
     settings: HostSettings, *, close_after_request: bool
 ) -> aiohttp.ClientSession:
-    """Create an HTTP session, which can close each connection after its request."""
+    """Create an HTTP session that reuses connections or closes each after a request."""
     connector = aiohttp.TCPConnector(
         limit=0,
         force_close=close_after_request,
--- a/trefoilstage/blackboard.py
+++ b/trefoilstage/blackboard.py
@@ -22,7 +22,7 @@
     """Describe how far this host has read a stream; written by its follower."""
 
     reachable: bool = False
-    halted: bool = False
+    halted: bool = False  # this host does not support the stream's fold version
     caught_up: bool = False
     next_offset: int = 0
     last_read: float = 0.0
@@ -73,9 +73,10 @@
     ledgers: dict[int, LedgerState] = field(default_factory=dict)  # ledger followers
     streams: dict[str, StreamStatus] = field(default_factory=dict)  # stream followers
     log_in_reach: bool = True  # relayed log
-    listed: dict[str, ListedHost] = field(default_factory=dict)  # membership
+    listed: dict[str, ListedHost] = field(default_factory=dict)  # host list
     watched: frozenset[str] = frozenset()  # membership
-    # Hosts that an operator declared lost, with the event loop time at which this ends.
+    # Hosts that an operator declared lost, each with the event loop time until which
+    # the declaration is valid.
     declared_lost: dict[str, float] = field(default_factory=dict)  # operator server
     peers: dict[str, PeerStatus] = field(default_factory=dict)  # membership
     targets: dict[str, TargetStatus] = field(default_factory=dict)  # router
@@ -110,8 +111,8 @@
     def is_peer_live(self, entry: HostEntry) -> bool:
         """Return whether a host's current incarnation responds, as far as is known.
 
-        In a large fleet each host watches few others. A host that is not watched here
-        counts as live: counting it as lost would seal the draws of a working host.
+        In a large fleet each host watches few others. A host that this one does not
+        watch counts as live: otherwise the draws of a working host would be sealed.
         """
         status = self.peers.get(entry.host)
         if status is None:
--- a/trefoilstage/components/fleet/board_updater.py
+++ b/trefoilstage/components/fleet/board_updater.py
@@ -41,7 +41,7 @@
                 else:
                     self._apply_target(record, now)
             except MalformedMessageError as error:
-                # The previous configuration stays in force.
+                # If a configuration is malformed, the previous one stays in force.
                 if topic is Topic.TARGETS:
                     self._board.targets.unlist(record.key)
                 log_event(
--- a/trefoilstage/components/fleet/gossip.py
+++ b/trefoilstage/components/fleet/gossip.py
@@ -1,8 +1,8 @@
 """Encode in one byte per host when each host of a fleet was heard; no I/O.
 
-The byte saves load: in a fleet of hundreds of hosts each heartbeat passes on when every
-host was heard, in four calls and four replies per second at each host. Sender and
-receiver know the same names, so heartbeats carry a digest of the names instead.
+A longer form would cost too much: in a fleet of hundreds of hosts each heartbeat passes
+on when every host was heard, in four calls and four replies per second at each host.
+Sender and receiver know the same names, so heartbeats carry only a digest of them.
 """
 
 from collections import OrderedDict
@@ -13,8 +13,8 @@
 
 from trefoilstage.fleet_board import PeerState
 
-# A byte has the time since a host was heard, in units of AGE_UNIT_S, in six bits, and
-# two flags.
+# Six bits of a byte give the time since a host was heard, in units of AGE_UNIT_S; the
+# other two are flags.
 AGE_UNIT_S = 0.05
 AGE_UNKNOWN = 63
 AGE_MASK = 63
--- a/trefoilstage/components/fleet/known_hosts.py
+++ b/trefoilstage/components/fleet/known_hosts.py
@@ -1,7 +1,7 @@
 """Track which incarnation each peer runs and when it was heard; no I/O.
 
-An incarnation is one run of a host's process. A host is known by its record in the
-store, by its own heartbeats and, in a large fleet, by the heartbeats of other peers.
+An incarnation is one run of a host's process. A host learns of a peer from the peer's
+record in the store, from its heartbeats and, in a large fleet, from those of others.
 Of two incarnations of a host, the one whose record has the higher offset is newer.
 """
 
@@ -50,7 +50,7 @@
         return LOST_AFTER_LARGE_FLEET_S if self._board.is_large() else LOST_AFTER_S
 
     def list_live(self, now: float) -> tuple[str, ...]:
-        """Return the names of the live hosts that serve, this one included."""
+        """Return the sorted names of the live hosts; omit this host while it drains."""
         return self._board.list_live_hosts(now, self.lost_after_s)
 
     def has_heard_all_hosts(self) -> bool:
@@ -127,17 +127,17 @@
     def _add_peer(
         self, host: str, found: HostRecord | HostHeartbeat, offset: int
     ) -> PeerState:
-        state = PeerState(
+        peer = PeerState(
             host=host,
             incarnation=found.incarnation,
             peer_url=found.peer_url,
             data_center=found.data_center,
             announced_at=offset,
         )
-        self._board.peers[host] = state
+        self._board.peers[host] = peer
         self._mark_hosts_changed()
         log_event(Event.PEER_MET, peer=host, peer_incarnation=found.incarnation)
-        return state
+        return peer
 
     def _update_sender(
         self, peer: PeerState, heartbeat: HostHeartbeat, now: float
--- a/trefoilstage/components/fleet/membership.py
+++ b/trefoilstage/components/fleet/membership.py
@@ -117,7 +117,7 @@
         await self._send_heartbeats()
 
     def list_live(self) -> tuple[str, ...]:
-        """Return the names of the live hosts that serve, this one included."""
+        """Return the sorted names of the live hosts; omit this host while it drains."""
         return self._known_hosts.list_live(self._timer.now())
 
     def count_hosts(self) -> int:
@@ -220,21 +220,21 @@
 
     async def _send_heartbeat(self, peer: PeerState) -> None:
         link = self._links.get_link(peer.peer_url)
-        started = self._timer.now()
+        asked_at = self._timer.now()
         try:
             reply = await link.call(self._make_heartbeat(), timeout_s=CALL_TIMEOUT_S)
         except PeerUnavailableError:
             return
         if isinstance(reply, HostHeartbeat):
             await self._apply_heartbeat(reply)
-            self._known_hosts.record_confirmation(reply, started)
+            self._known_hosts.record_confirmation(reply, asked_at)
 
     async def _answer_heartbeat(self, heartbeat: HostHeartbeat) -> HostHeartbeat:
         self.add_future(self._apply_heartbeat(heartbeat))
         return self._make_heartbeat(heartbeat)
 
     def _make_heartbeat(self, request: HostHeartbeat | None = None) -> HostHeartbeat:
-        """Return this host's heartbeat, in a reply by the table of the request."""
+        """Return this host's heartbeat; a reply uses the host table of the request."""
         heartbeat = HostHeartbeat(
             host=self._board.host,
             incarnation=self._board.incarnation,
--- a/trefoilstage/components/fleet/messages.py
+++ b/trefoilstage/components/fleet/messages.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HostHeartbeat:
-    """Send a peer this host's status and how far it has read each topic."""
+    """Report this host's status, and how far it has read each topic, to a peer."""
 
     host: Name
     incarnation: Name
--- a/trefoilstage/components/fleet/metrics.py
+++ b/trefoilstage/components/fleet/metrics.py
@@ -16,7 +16,7 @@
 from trefoilstage.util.stalls import StallDetector
 
 PATH = "/metrics"
-# How often log lines that a slow reader has not accepted yet are written again.
+# Interval at which log lines that a slow reader has not accepted are retried.
 FLUSH_INTERVAL_S = 0.25
 
 
@@ -28,7 +28,7 @@
         *,
         board: FleetBoard,
         timer: TimerService,
-        lines: LineWriter,
+        line_writer: LineWriter,
         address: str,
         port: int,
         get_accounts: Callable[[], Sequence[EscrowAccount]],
@@ -38,7 +38,7 @@
         super().__init__()
         self._board = board
         self._timer = timer
-        self._lines = lines
+        self._line_writer = line_writer
         self._address = address
         self._port = port
         self._get_accounts = get_accounts
@@ -65,7 +65,7 @@
             port = runner.addresses[0][1]
             log_event(Event.METRICS_SERVED, address=self._address, metrics_port=port)
         except OSError as error:
-            # Callers can be served without metrics, so the host goes on.
+            # Callers can be served without metrics, so the host continues.
             log_event(Event.METRICS_UNAVAILABLE, port=self._port, error=str(error))
 
     async def on_stop(self) -> None:
@@ -76,7 +76,7 @@
             await self._runner.cleanup()
 
     async def _flush_and_check_stall(self) -> None:
-        self._lines.flush()
+        self._line_writer.flush()
         stall = self._stalls.record_tick(self._timer.now(), time.process_time())
         if stall is not None:
             log_event(
@@ -135,5 +135,5 @@
         add(
             "log_lines_left_out",
             "Log lines that were over the rate or that nobody read.",
-            lambda: self._lines.n_left_out,
+            lambda: self._line_writer.n_left_out,
         )
--- a/trefoilstage/const.py
+++ b/trefoilstage/const.py
@@ -13,6 +13,7 @@
 # Offset in the reply to an append if the log returned none.
 NO_OFFSET: Final = -1
 
+# With more peers than this, a host sends heartbeats only to some of them.
 MAX_FULL_MESH: Final = 8
 
 MAX_RECORD_BYTES: Final = 1_000_000
--- a/trefoilstage/exceptions.py
+++ b/trefoilstage/exceptions.py
@@ -6,23 +6,23 @@
 
 
 class MalformedMessageError(TrefoilstageError):
-    """Indicate bytes that are not a valid message of the expected kind."""
+    """Report bytes that are not a valid message of the expected kind."""
 
 
 class NotReadyError(TrefoilstageError):
-    """Indicate a failure after which the same call may succeed later."""
+    """Report a failure after which the same call may succeed later."""
 
 
 class StreamNotFollowedError(NotReadyError):
-    """Indicate a stream that this host does not follow yet; nothing was sent."""
+    """Report a stream that this host does not follow yet; nothing was sent."""
 
 
 class LogUnavailableError(NotReadyError):
-    """Indicate that the log did not respond; an append may have taken effect."""
+    """Report that the log did not respond; an append may have taken effect."""
 
 
 class RecordsExpiredError(TrefoilstageError):
-    """Indicate that the log no longer has the record at the requested offset."""
+    """Report that the log no longer has the record at the requested offset."""
 
     def __init__(self, *, earliest: int) -> None:
         super().__init__(f"records before offset {earliest} have expired")
@@ -30,19 +30,19 @@
 
 
 class UnsupportedVersionError(TrefoilstageError):
-    """Indicate a stream upgraded to a fold version that this host does not support."""
+    """Report a stream upgraded to a fold version that this host does not support."""
 
 
 class SequenceForgottenError(TrefoilstageError):
-    """Indicate that the fold no longer knows this writer, which must restart."""
+    """Report that the fold no longer knows this writer, which must restart."""
 
 
 class PeerUnavailableError(NotReadyError):
-    """Indicate that a peer did not reply; it may still have processed the call."""
+    """Report that a peer did not reply; it may still have processed the call."""
 
 
 class HostCrashedError(TrefoilstageError):
-    """Indicate that a component of the host failed, so that the process must exit."""
+    """Report that a component of the host failed, so that the process must exit."""
 
 
 class SettingsError(TrefoilstageError):
--- a/trefoilstage/fleet_board.py
+++ b/trefoilstage/fleet_board.py
@@ -13,14 +13,15 @@
 from trefoilstage.phase import Phase
 
 # Single calls may fail without an outage. Once all calls have failed for this long, the
-# host asks its peers and no longer treats a silent target as gone.
+# host reads records from its peers, and keeps targets with expired entries for a time.
 OUT_OF_REACH_AFTER_S = 0.5
 # A call to a peer takes 1 to 5 ms on a link that is not full.
 LINK_FULL_DELAY_S = 0.15
-# If more peers than this report a full link too, callers would gain nothing there.
+# If a larger share of the peers reports a full link too, callers would gain nothing
+# from using another host.
 MAX_FULL_PEER_SHARE = 0.3
 # Unanswered calls indicate a full link only while the peers' heartbeats arrive. After a
-# power loss, the remaining hosts would otherwise send callers to hosts that are gone.
+# power loss, the remaining hosts would otherwise send callers to lost hosts.
 MIN_HEARD_PEER_SHARE = 0.5
 RECENTLY_HEARD_S = 3.0
 # With more peers than this, hosts no longer send messages to all other hosts: the cost
@@ -30,7 +31,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class StoreReach:
-    """Record whether the store responds to this host; written by its callers."""
+    """Record whether the store responds; written by the components that call it."""
 
     last_answer: float = float("-inf")
     failing_since: float | None = None
@@ -38,7 +39,7 @@
     out_of_reach: bool = False
 
     def get_silence(self, now: float) -> float:
-        """Return the seconds since the last answer, 0 while the store is reachable."""
+        """Return the seconds since the store last answered, 0 while it is reachable."""
         return now - self.last_answer if self.out_of_reach else 0.0
 
     def note_answer(self, now: float) -> None:
@@ -92,13 +93,13 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LiveHosts:
-    """Describe which hosts were live and when the first of them becomes silent."""
+    """Describe which hosts were live, and how long this remains valid."""
 
     names: tuple[str, ...]
     phase: Phase  # of this host
     n_peers: int
     n_changes: int  # value of the change counter at that time
-    until: float  # valid until then unless a peer changes
+    until: float  # when the next host counts as lost if no peer changes before
 
 
 @dataclass(kw_only=True, slots=True)
@@ -115,10 +116,11 @@
     targets: TargetDirectory = field(default_factory=TargetDirectory)  # target follower
     peers: dict[str, PeerState] = field(default_factory=dict)  # membership
     round_trips: RoundTrips = field(default_factory=RoundTrips)  # links to peers
+    # As in PeerState, but for the previous incarnations of this host.
     untouched: tuple[str, ...] | None = None  # lock keeper
     # When list_live_hosts last found a different list.
     live_changed_at: float = float("-inf")
-    _live: dict[float, LiveHosts] = field(default_factory=dict)  # by silent_s
+    _live: dict[float, LiveHosts] = field(default_factory=dict)  # by lost_after_s
     _n_peer_changes: int = 0
 
     def is_large(self) -> bool:
@@ -126,10 +128,10 @@
         return len(self.peers) > MAX_BROADCAST_PEERS
 
     def list_live_hosts(self, now: float, lost_after_s: float) -> tuple[str, ...]:
-        """Return the sorted names of the live hosts, with this one unless it drains.
+        """Return the sorted names of the live hosts; omit this host while it drains.
 
-        Called for each request and each account, so the list is cached until a peer
-        changes or the next one becomes silent.
+        This is called for each request and each account, so the list is cached until a
+        peer changes or the next one counts as lost.
         """
         cached = self._live.get(lost_after_s)
         if cached is not None and self._is_current(cached, now):
--- a/trefoilstage/fleet_host.py
+++ b/trefoilstage/fleet_host.py
@@ -27,17 +27,18 @@
 from trefoilstage.util.process_start import ProcessStart
 
 POLL_INTERVAL_S = 0.02
-# Running peers respond within milliseconds; the store may list some that are gone.
+# Running peers respond within milliseconds; the store may list hosts that have ended.
 MEET_S = 0.6
-# Nine of ten streams take at most 4 s; one accepted later would be cut off.
+# Nine of ten streams take at most 4 s; one of 4 s that is accepted after this time
+# would be cut off.
 ACCEPT_STREAMS_WHILE_DRAINING_S = 3.0
 # Longest call to a plain HTTP service.
 MAX_PLAIN_CALL_S = 0.5
 # Callers, and a balancer that uses every host, notice the end of the last stream a
 # moment later. Without this time the port closed 12 to 25 ms after that end, and 5 of
-# 66 shutdowns beside busy processes refused a connection. It is twice the 200 ms within
-# which the platform's rules let a planned stop cut a request, as a busy host or caller
-# may be late itself.
+# 66 shutdowns beside busy processes refused a connection. The platform's rules allow a
+# planned stop to cut requests within 200 ms; this is twice as long, as a busy host or
+# caller may be late itself.
 ACCEPT_AFTER_LAST_STREAM_S = 0.4
 # Time reserved at the end of the shutdown grace to return tokens, and to stop.
 LEAVE_TIMEOUT_S = 0.6
@@ -56,10 +57,10 @@
         board_updater: BoardUpdater,
         board: FleetBoard,
         process_start: ProcessStart,
-        lines: LineWriter,
+        line_writer: LineWriter,
     ) -> None:
         super().__init__()
-        self._lines = lines
+        self._line_writer = line_writer
         self._process_start = process_start
         self._settings = settings
         self._store = store
@@ -104,7 +105,7 @@
         metrics = MetricsServer(
             board=self._board,
             timer=parts.timer,
-            lines=self._lines,
+            line_writer=self._line_writer,
             address=settings.address,
             port=settings.metrics_port,
             get_accounts=self._home.list_accounts,
@@ -182,15 +183,16 @@
             Event.HOST_DRAINING, host=self._board.host, active=self._server.n_active
         )
         # The balancer removes a host after two failed checks, and keeps using all hosts
-        # of a data centre if most of them drain. Those callers' requests would fail at
-        # a closed port, so the port stays open until the end.
+        # of a data centre if most of them drain. The requests that it still sends here
+        # would fail at a closed port, so the port stays open until the end.
         await asyncio.sleep(
             max(0.0, min(ACCEPT_STREAMS_WHILE_DRAINING_S, drain_deadline - loop.time()))
         )
         self._server.refuse_streams()
         # If most hosts of a data centre drain, plain calls never stop arriving. A host
-        # that waited for a pause stayed until the end of its grace and refused streams
-        # that its replacement could have served: 204 within 8 s of a rolling stop.
+        # that waited for a pause between them stayed until the end of its grace and
+        # refused streams that its replacement could have served: 204 within 8 s of a
+        # rolling stop.
         while (
             loop.time() < drain_deadline - MAX_PLAIN_CALL_S and self._server.n_streams
         ):
--- a/trefoilstage/fleet_parts.py
+++ b/trefoilstage/fleet_parts.py
@@ -1,4 +1,4 @@
-"""Create the components of a forwarding host, except those that own sockets."""
+"""Create the components of a forwarding host, except its servers and connections."""
 
 import asyncio
 import random
@@ -39,7 +39,7 @@
 CONFIGURATION_WAIT_S = 1.0
 # Each target writes about once a second, so a long-poll read would return for every
 # write. A leaving target must get no more requests after the drain time; with five
-# reads in that time, even a slow read finds it early enough.
+# reads in that time, the host learns of it early enough even if a read is slow.
 TARGET_READS_PER_DRAIN = 5
 HOSTS_WAIT_S = 3.0
 # If a dead connection hides a crash record, the host still reads it before the targets
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class FleetParts:
-    """Group the connected components of a forwarding host, except its servers."""
+    """Group the components of a forwarding host, except its servers and connections."""
 
     timer: TimerService
     followers: Mapping[Topic, ViewFollower]
--- a/trefoilstage/host.py
+++ b/trefoilstage/host.py
@@ -128,8 +128,8 @@
         """Stop accepting requests, finish those in flight and return the draws."""
         self.blackboard.phase = Phase.DRAINING
         log_event(Event.HOST_DRAINING, host=self._settings.host)
-        # The balancer notices the failing /health after a delay. Requests that arrive
-        # until then are refused with a response instead of meeting a closed port.
+        # The balancer notices the failing /health check after a delay. Requests that
+        # still arrive until then are refused with a response, not by a closed port.
         grace_ends_at = self._parts.timer.now() + self._settings.drain_grace_s
         all_ended = await self._parts.caller_server.drain(
             self._settings.drain_timeout_s
@@ -150,8 +150,8 @@
         await self._parts.caller_server.drain(self._settings.drain_timeout_s)
 
     async def _flush(self) -> bool:
-        # Bounded because a log outage may be long. The draws' witnesses release
-        # whatever was not returned once this host is gone.
+        # The wait is bounded because a log outage may be long. Once this host has
+        # ended, the draws' witnesses release whatever it did not return.
         try:
             async with asyncio.timeout(self._settings.flush_timeout_s):
                 await self._parts.streams.flush()
--- a/trefoilstage/platform/process.py
+++ b/trefoilstage/platform/process.py
@@ -32,7 +32,8 @@
 from trefoilstage.util.startup import enable_garbage_collector
 
 SETTINGS_PATH_VARIABLE = "TREFOILSTAGE_CONFIG"
-# Remainder of the shutdown grace period after the drain and the return of tokens.
+# Less than STOP_RESERVE_S of fleet_host, the part of the shutdown grace period that is
+# left after the drain and the return of tokens.
 STOP_TIMEOUT_S = 0.4
 # A collection takes 30 ms, which would delay callers that wait for the host to start.
 GARBAGE_COLLECTION_DELAY_S = 1.0
@@ -41,7 +42,10 @@
 
 
 async def run_host(
-    path: Path, settings: FleetSettings, process_start: ProcessStart, lines: LineWriter
+    path: Path,
+    settings: FleetSettings,
+    process_start: ProcessStart,
+    line_writer: LineWriter,
 ) -> None:
     """Serve until SIGTERM or SIGINT requests a drain."""
     board = make_board(settings)
@@ -59,7 +63,7 @@
             ),
             board=board,
             process_start=process_start,
-            lines=lines,
+            line_writer=line_writer,
         )
         loop = asyncio.get_running_loop()
         for signal_number in (signal.SIGTERM, signal.SIGINT):
@@ -102,7 +106,7 @@
 def main() -> None:
     """Run a host with the settings file that the platform names."""
     process_start = read_process_start()
-    lines = set_up_event_log(STDOUT_DESCRIPTOR)
+    line_writer = set_up_event_log(STDOUT_DESCRIPTOR)
     try:
         path = Path(os.environ[SETTINGS_PATH_VARIABLE])
         settings = load_platform_settings(path)
@@ -113,7 +117,7 @@
         sys.stderr.write(f"{error}\n")
         sys.exit(EXIT_BAD_SETTINGS)
     try:
-        uvloop.run(run_host(path, settings, process_start, lines))
+        uvloop.run(run_host(path, settings, process_start, line_writer))
     except OSError as error:
         sys.stderr.write(f"{error}\n")
         sys.exit(EXIT_CRASHED)
--- a/trefoilstage/platform/store.py
+++ b/trefoilstage/platform/store.py
@@ -28,7 +28,7 @@
 }
 HTTP_OK = 200
 HTTP_GONE = 410
-HTTP_CONFLICT = 412
+HTTP_PRECONDITION_FAILED = 412
 # The store normally answers in 5 to 9 ms, and 60 times as slowly when degraded.
 CALL_TIMEOUT_S = 1.5
 CONNECT_TIMEOUT_S = 0.5
@@ -135,7 +135,7 @@
         status, data = await self._call(
             "POST", "/trefoilstage/log-append", params, body=body
         )
-        if status == HTTP_CONFLICT:
+        if status == HTTP_PRECONDITION_FAILED:
             return None
         check_status(status)
         return decode_model(WireAppended, data).offset
@@ -211,8 +211,9 @@
     """Decode the response to a read that began at an offset."""
     records: list[KeyedRecord] = []
     try:
-        # The response starts with the partition's end and its first kept offset. It may
-        # contain only some of the records up to the end, so neither is the next offset.
+        # The response starts with the partition's end and its first kept offset; here,
+        # only their presence is checked. The response may contain only some of the
+        # records up to the end, so neither is the next offset.
         PARTITION_OFFSETS.unpack_from(data)
         position = PARTITION_OFFSETS.size
         while position < len(data):
