--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -120,7 +120,7 @@
         self.assertEqual(sampled - set(read_table("OPERATING.md", "Metrics")), set())
 
 
-class LinesTest(unittest.TestCase):
+class LogLinesTest(unittest.TestCase):
     """Test the source code of every call that writes a log line."""
 
     def test_request_lines_name_the_workspace_and_quote_no_error(self) -> None:
--- a/trefoilstage/components/membership/controller.py
+++ b/trefoilstage/components/membership/controller.py
@@ -24,6 +24,7 @@
 from trefoilstage.timer import TimerService
 from trefoilstage.util.hashing import rank_by_rendezvous
 
+# Number of hosts that watch the holder and the witness of a draw that is not open.
 N_RECOVERERS = 3
 ANNOUNCE_CHECK_S = 0.02
 # A heartbeat and its reply show each of two hosts that the other is live, so one of
@@ -129,8 +130,9 @@
             status = self._blackboard.peers.get(name)
             if status is None or status.reachable or self._is_listed(name):
                 continue
-            # Other hosts lose time as long as they look for a host that has ended.
-            # A host that was only cut off announces itself again.
+            # As long as a host that has ended stays in the configuration, other hosts
+            # lose time trying to reach it. One that was only cut off announces itself
+            # again.
             if now - status.last_heard < self._forget_after_s:
                 continue
             if self._should_report(entry):
@@ -170,9 +172,9 @@
             self._record_heartbeat(reply)
 
     def set_announcement(self, record: HostUp) -> None:
-        """Announce this host when it is caught up and whenever the log has removed it.
+        """Announce this host once it is caught up, and whenever the log has removed it.
 
-        The log has removed it when another host reported it as lost.
+        The log removes a host that another host reports as lost.
         """
         self._announcement = record
         self._unsubscribe_first = self._timer.subscribe(
@@ -182,8 +184,8 @@
         )
 
     async def _announce_once_caught_up(self) -> None:
-        # A log with a short retention drops the checkpoint that this host still needs
-        # when the announcement is appended.
+        # When the announcement is appended, a log with a short retention drops the
+        # checkpoint that a host still needs until it is caught up.
         if self._streams.config.status.caught_up and self._announcement is not None:
             self._unsubscribe_first()
             self._streams.submit_config(self._announcement)
--- a/trefoilstage/components/membership/peer_selection.py
+++ b/trefoilstage/components/membership/peer_selection.py
@@ -9,11 +9,11 @@
 
 
 def pick_watched(host: str, names: Iterable[str], partners: Iterable[str]) -> set[str]:
-    """Return the peers to watch: all in a small fleet, a few and partners in a large.
+    """Return the peers to watch: all if there are few, else some and the partners.
 
     Heartbeats between all hosts would cost the square of the fleet's size. Each host
-    is watched by about as many others as it watches, and by those that account for
-    its draws, whose decisions are the only ones that depend on its status.
+    is watched by about as many others as it watches, and by the hosts that account
+    for its draws, because only their decisions depend on its status.
     """
     others = {name for name in names if name != host}
     if len(others) <= MAX_FULL_MESH:
--- a/trefoilstage/components/operators/server.py
+++ b/trefoilstage/components/operators/server.py
@@ -245,7 +245,7 @@
 
 
 def describe_rejection(verdict: Rejected) -> str:
-    """Return a rejection's detail with its findings, one a line."""
+    """Return a rejection's detail and its findings, one per line."""
     return "\n".join([verdict.detail, *map(str, verdict.findings)])
 
 
--- a/trefoilstage/components/views/follower.py
+++ b/trefoilstage/components/views/follower.py
@@ -16,7 +16,7 @@
 from trefoilstage.helpers.events import Event, log_event
 
 # Short enough to read a new configuration well within the required 2 s after an
-# outage; limits a store that does not respond to five calls per second from a host.
+# outage. During the outage, a follower calls the store at most five times per second.
 RETRY_INTERVAL_S = 0.2
 
 ChangeCallback = Callable[[list[KeyedRecord]], None]
