--- a/tests/helpers/test_log_line_writer.py
+++ b/tests/helpers/test_log_line_writer.py
@@ -55,28 +55,28 @@
         and counted instead; the count is logged once the pipe has room.
         """
         self.addCleanup(os.close, self.write_descriptor)
-        lines = self.make_writer()
+        writer = self.make_writer()
         for number in range(20_000):
-            lines.write(f"number={number} " + "x" * 90, is_routine=False)
-        self.assertGreater(lines.n_left_out, 0)
+            writer.write(f"number={number} " + "x" * 90, is_routine=False)
+        self.assertGreater(writer.n_left_out, 0)
         kept = ""
         for _ in range(MAX_BUFFER_BYTES // 60_000 + 2):
             kept += self.read_pipe()
-            lines.flush()
-        lines.write("last", is_routine=False)
+            writer.flush()
+        writer.write("last", is_routine=False)
         kept += self.read_pipe()
-        self.assertIn(f"lines_left_out count={lines.n_left_out}\n", kept)
+        self.assertIn(f"lines_left_out count={writer.n_left_out}\n", kept)
         self.assertTrue(kept.endswith("last\n"))
-        self.assertEqual(kept.count("number="), 20_000 - lines.n_left_out)
+        self.assertEqual(kept.count("number="), 20_000 - writer.n_left_out)
 
     def test_failures_take_precedence_over_routine_lines(self) -> None:
         """Exhaust the limit with routine lines; failures still have half the burst."""
         self.addCleanup(os.close, self.write_descriptor)
-        lines = self.make_writer(burst=10.0)
+        writer = self.make_writer(burst=10.0)
         for _ in range(20):
-            lines.write("sent", is_routine=True)
+            writer.write("sent", is_routine=True)
         for _ in range(20):
-            lines.write("refused", is_routine=False)
+            writer.write("refused", is_routine=False)
         text = self.read_pipe()
         self.assertEqual(text.count("sent"), 5)
         self.assertEqual(text.count("refused"), 5)
@@ -84,18 +84,18 @@
     def test_rate_is_limited(self) -> None:
         """Write for 10 s at ten times the allowed rate."""
         self.addCleanup(os.close, self.write_descriptor)
-        lines = self.make_writer(burst=10.0, rate=5.0)
+        writer = self.make_writer(burst=10.0, rate=5.0)
         for _ in range(500):
             self.clock.time += 0.02
-            lines.write("refused", is_routine=False)
+            writer.write("refused", is_routine=False)
         self.assertLessEqual(self.read_pipe().count("refused"), 10 + 5 * 10)
 
     def test_closed_pipe_raises_no_error(self) -> None:
         """Write after the pipe was closed; the line is counted as left out."""
-        lines = self.make_writer()
+        writer = self.make_writer()
         os.close(self.write_descriptor)
-        lines.write("text", is_routine=False)
-        self.assertEqual(lines.n_left_out, 1)
+        writer.write("text", is_routine=False)
+        self.assertEqual(writer.n_left_out, 1)
 
 
 if __name__ == "__main__":
--- a/trefoilstage/helpers/events.py
+++ b/trefoilstage/helpers/events.py
@@ -154,8 +154,8 @@
     """
     if error is None:
         return ""
-    place = locate_error(error)
-    return f"{type(error).__name__}@{place}" if place else type(error).__name__
+    location = locate_error(error)
+    return f"{type(error).__name__}@{location}" if location else type(error).__name__
 
 
 class EventWriter:
--- a/trefoilstage/helpers/metrics.py
+++ b/trefoilstage/helpers/metrics.py
@@ -57,7 +57,7 @@
 
 
 class EventMeter:
-    """Count events by name and reason, so that components need no own counters."""
+    """Count events by name and reason, so components need no counters of their own."""
 
     def __init__(self, *, metrics: StatsdMetrics) -> None:
         self._metrics = metrics
--- a/trefoilstage/helpers/request_history.py
+++ b/trefoilstage/helpers/request_history.py
@@ -33,7 +33,8 @@
 class LogLine:
     """Represent one log line of a host."""
 
-    source: str  # the last word before the line, as a supervisor writes, else the file
+    # Last word of the prefix that a supervisor writes before the line, else the file.
+    source: str
     fields: dict[str, str]
 
     @property
--- a/trefoilstage/helpers/send_trace.py
+++ b/trefoilstage/helpers/send_trace.py
@@ -24,7 +24,7 @@
     connecting_since: float | None = None
 
     def was_stalled(self, timeout_s: float) -> bool:
-        """Return whether this process was stalled while its connection timed out."""
+        """Return whether the process stalled while the call's connection timed out."""
         if self.connecting_since is None:
             return False
         now = asyncio.get_running_loop().time()
