--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -199,14 +199,14 @@
                 results = await asyncio.gather(*commands)
             codes = [result.code for result in results]
             self.assertEqual(codes.count(ExitCode.OK), 1, results)
-            loser = results[1 - codes.index(ExitCode.OK)]
-            self.assertIn("50-race.toml is in force at revision", loser.err)
-            winner = codes.index(ExitCode.OK)
+            rejected = results[1 - codes.index(ExitCode.OK)]
+            self.assertIn("50-race.toml is in force at revision", rejected.err)
+            accepted_index = codes.index(ExitCode.OK)
             state = await fleet.launcher.get_json(
-                f"{fleet.hosts[winner].operator_url}/config/files"
+                f"{fleet.hosts[accepted_index].operator_url}/config/files"
             )
             content = {item["name"]: item["content"] for item in state}
-            self.assertIn(f"tokens = {winner + 1}\n", content["50-race.toml"])
+            self.assertIn(f"tokens = {accepted_index + 1}\n", content["50-race.toml"])
 
     async def test_top_up_with_lost_answer_is_applied_once(self) -> None:
         """Lose the answer to a top-up after the top-up took effect.
--- a/trefoilstage/cli/client.py
+++ b/trefoilstage/cli/client.py
@@ -75,7 +75,7 @@
         raise NotReadyError("; ".join(errors))
 
     def declare_lost(self, body: DeclareLostBody) -> DeclareLostAnswer:
-        """Tell only the first host not to wait for lost hosts."""
+        """Send a declaration of lost hosts to the first host only."""
         return self._call_host(
             self._urls[0],
             "POST",
@@ -85,7 +85,7 @@
         )
 
     def drain(self) -> DrainAnswer:
-        """Tell only the first host to drain."""
+        """Send a drain request to the first host only."""
         return self._call_host(
             self._urls[0], "POST", "/drain", "{}", DrainAnswer.model_validate_json
         )
