--- a/trefoilstage/ledger/fold.py
+++ b/trefoilstage/ledger/fold.py
@@ -65,8 +65,8 @@
 ) -> Rejected | None:
     """Store a writer's newest sequence; reject a repeat or a gap in its sequences."""
     last = sequences.get(incarnation, -1)
-    # A writer repeats an append whose reply was lost, and the log may then hold
-    # the record twice. Without this check a draw would be granted twice.
+    # A writer repeats an append whose reply was lost, and the log may then
+    # contain the record twice. Without this check a draw would be granted twice.
     if sequence <= last:
         return Rejected(reason=Reason.DUPLICATE)
     # The log may have dropped the first records of a group before any host read
@@ -82,7 +82,7 @@
 
 
 def skip_offset(state: LedgerState, offset: int) -> None:
-    """Advance past an offset that holds no valid record."""
+    """Advance past an offset without a valid record."""
     state.next_offset = max(state.next_offset, offset + 1)
 
 
@@ -128,7 +128,7 @@
     if draw is not None and draw.status is not DrawStatus.OPEN:
         return Rejected(reason=Reason.DRAW_SEALED)
     # A holder that was paused may ask to extend a draw that was sealed and closed
-    # in the meantime; reopening it would let a fenced holder spend again.
+    # in the meantime; reopening it would let the lost holder spend again.
     if draw is None and not record.opens:
         return Rejected(reason=Reason.DRAW_CLOSED)
     granted = min(record.amount, account.free)
@@ -219,8 +219,8 @@
     if not draw.account.startswith(SITE_ACCOUNT_PREFIX):
         return Rejected(reason=Reason.NOT_APPLICABLE)
     # Any host may ask the targets to refuse the holder, because the witness may be
-    # lost too. The fence does not cover a draw that was opened after it: that
-    # draw's holder may still run requests.
+    # lost too. The refusal up to a fencing number does not cover a draw that was
+    # opened after that number: the draw's holder may still run requests.
     if record.fencing < draw.opened:
         return Rejected(reason=Reason.STALE_REVISION)
     close_draw(state, record.draw)
--- a/trefoilstage/ledger/records.py
+++ b/trefoilstage/ledger/records.py
@@ -29,10 +29,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OpenRequest:
-    """Describe a hold that may still be spent and the targets that may run it.
+    """Describe a request whose hold may still be spent, and its possible targets.
 
     Targets are indexes into the target list of the enclosing message or record. If
-    there are none, no target can confirm what was spent.
+    there are none, no target can confirm what the request spent.
     """
 
     number: Tokens
@@ -127,7 +127,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Release:
-    """Free a lost holder's watts once the targets refuse it up to a fencing number."""
+    """Free a lost holder's watts once the targets refuse its requests.
+
+    The targets refuse requests up to a fencing number, an offset of the ledger stream.
+    """
 
     draw: Name
     fencing: Tokens
--- a/trefoilstage/ledger/settlement.py
+++ b/trefoilstage/ledger/settlement.py
@@ -1,6 +1,6 @@
 """Bill the requests of draws and settle the open holds of lost holders.
 
-A hold is in doubt when its draw was sealed before the request's spend was known. It
+A hold is doubtful if its draw was sealed before the request's spend was known. It
 counts as fully spent until another run of its key is billed or the targets report it.
 """
 
@@ -43,7 +43,7 @@
 def reduce_doubt(
     state: LedgerState, hold_key: DoubtfulHoldKey, billed_tokens: int
 ) -> None:
-    """Release the part of a doubtful hold that another run of its key has paid."""
+    """Release the part of a doubtful hold that is billed to another run of its key."""
     draw = state.draws[hold_key.draw]
     hold = draw.doubtful[hold_key.number]
     released = hold.doubt - min(hold.doubt, max(0, hold.tokens - billed_tokens))
@@ -72,7 +72,7 @@
 def remove_doubtful_hold(
     state: LedgerState, draw_name: str, number: int
 ) -> DoubtfulHold | None:
-    """Remove a hold in doubt with its charge and return it, or None if unknown."""
+    """Remove a doubtful hold and its doubt; return the hold, or None if unknown."""
     draw = state.draws[draw_name]
     hold = draw.doubtful.pop(number, None)
     if hold is None:
@@ -90,7 +90,7 @@
 def resolve_holds(
     state: LedgerState, draw_name: str, requests: tuple[BilledRequest, ...]
 ) -> None:
-    """Bill holds of a sealed draw, except those that are no longer in doubt."""
+    """Bill holds of a sealed draw, except those that are no longer doubtful."""
     draw = state.draws[draw_name]
     for request in requests:
         hold = remove_doubtful_hold(state, draw_name, request.number)
--- a/trefoilstage/ledger/state.py
+++ b/trefoilstage/ledger/state.py
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DoubtfulHoldKey:
-    """Identify a hold in doubt by its draw and its number there."""
+    """Identify a doubtful hold by its draw and its number within the draw."""
 
     draw: str
     number: int
@@ -103,8 +103,8 @@
 class LedgerState:
     """Represent the state of a ledger stream before the next offset to fold.
 
-    `billed` and `doubtful` have the billed tokens and the holds in doubt by account
-    and key, `sequences` the newest sequence of each incarnation.
+    `billed` and `doubtful` map an account and key to the billed tokens and to the
+    doubtful holds, `sequences` maps an incarnation to its newest sequence.
     """
 
     fold_version: int = 1
