--- a/trefoilstage/components/configuration/controller.py
+++ b/trefoilstage/components/configuration/controller.py
@@ -26,6 +26,7 @@
         self._timer = timer
         self._revision = -1
         self._revision_at = 0.0
+        # The newest revision whose limits are in the ledgers.
         self._synced = -1
         self._tickets: list[Ticket] = []
 
@@ -68,13 +69,18 @@
         return not self._tickets and self._streams.is_caught_up()
 
     def _write_limits(self) -> None:
-        for account, wanted in self._blackboard.config.limits.items():
+        for account, account_limit in self._blackboard.config.limits.items():
             number = self._streams.get_ledger_number(account)
             account_state = self._blackboard.ledgers[number].accounts.get(account)
-            if account_state is not None and account_state.revision >= wanted.revision:
+            if (
+                account_state is not None
+                and account_state.revision >= account_limit.revision
+            ):
                 continue
             record = SetLimit(
-                account=account, limit=wanted.limit, revision=wanted.revision
+                account=account,
+                limit=account_limit.limit,
+                revision=account_limit.revision,
             )
             self._tickets.append(self._streams.submit_ledger(number, record))
         if not self._tickets:
--- a/trefoilstage/configuration/fold.py
+++ b/trefoilstage/configuration/fold.py
@@ -103,7 +103,7 @@
         offset=offset,
         merger=merger or IncrementalMerger(),
     )
-    return apply_config(envelope.record, state, context)
+    return apply_record(envelope.record, state, context)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -116,31 +116,31 @@
 
 
 @singledispatch
-def apply_config(record: object, state: ConfigState, context: RecordContext) -> Verdict:
+def apply_record(record: object, state: ConfigState, context: RecordContext) -> Verdict:
     """Apply a record of one kind; reject a kind without a handler."""
     return Rejected(reason=Reason.NOT_APPLICABLE)
 
 
-@apply_config.register
+@apply_record.register
 def _(record: Checkpoint, state: ConfigState, context: RecordContext) -> Verdict:
     return ACCEPTED
 
 
-@apply_config.register
+@apply_record.register
 def _(record: Publish, state: ConfigState, context: RecordContext) -> Verdict:
     files = dict(state.files)
     files[record.name] = FileState(content=record.content, revision=context.offset)
     return apply_file_change(record, "publish", state, files, context)
 
 
-@apply_config.register
+@apply_record.register
 def _(record: Remove, state: ConfigState, context: RecordContext) -> Verdict:
     files = dict(state.files)
     files.pop(record.name, None)
     return apply_file_change(record, "remove", state, files, context)
 
 
-@apply_config.register
+@apply_record.register
 def _(record: HostUp, state: ConfigState, context: RecordContext) -> Verdict:
     state.hosts[record.host] = HostEntry(
         host=record.host,
@@ -154,7 +154,7 @@
     return ACCEPTED
 
 
-@apply_config.register
+@apply_record.register
 def _(record: HostDown, state: ConfigState, context: RecordContext) -> Verdict:
     for name, entry in list(state.hosts.items()):
         if entry.incarnation == record.incarnation:
@@ -162,7 +162,7 @@
     return ACCEPTED
 
 
-@apply_config.register
+@apply_record.register
 def _(record: Upgrade, state: ConfigState, context: RecordContext) -> Verdict:
     if record.version != state.fold_version + 1:
         return Rejected(reason=Reason.STALE_REVISION)
--- a/trefoilstage/configuration/incremental.py
+++ b/trefoilstage/configuration/incremental.py
@@ -51,7 +51,6 @@
 EntryKey = tuple[str, str]
 Tables = dict[str, Any]
 
-
 REFERRING_SECTIONS = frozenset({"workspaces", "targets"})
 REFERRED_SECTIONS = ("budgets", "models", "sites")
 
--- a/trefoilstage/configuration/limits.py
+++ b/trefoilstage/configuration/limits.py
@@ -38,7 +38,7 @@
 ) -> None:
     """Store the limits that changed; a removed account's limit becomes 0.
 
-    Each limit carries the revision that changed it, not the newest one. An
+    Each limit has the revision that changed it, not the newest one. An
     unchanged limit is therefore not written again, and a limit that was raised and
     lowered again still supersedes a delayed record of the revision in between.
     """
@@ -53,6 +53,6 @@
     new_limits.update({f"{BUDGET_ACCOUNT_PREFIX}{name}": 0 for name in removed_budgets})
     new_limits.update({f"{SITE_ACCOUNT_PREFIX}{name}": 0 for name in removed_sites})
     for account, limit in new_limits.items():
-        present_limit = limits.get(account)
-        if present_limit is None or present_limit.limit != limit:
+        current_limit = limits.get(account)
+        if current_limit is None or current_limit.limit != limit:
             limits[account] = AccountLimit(limit=limit, revision=revision)
--- a/trefoilstage/configuration/merge.py
+++ b/trefoilstage/configuration/merge.py
@@ -175,7 +175,7 @@
 def check_references(
     configuration: Configuration,
 ) -> Iterator[tuple[tuple[str, ...], str]]:
-    """Yield the path and message of each missing entry or API key used twice."""
+    """Yield the path and message of each broken reference or API key used twice."""
     owners: dict[str, str] = {}
     for name, workspace in sorted(configuration.workspaces.items()):
         if workspace.budget not in configuration.budgets:
--- a/trefoilstage/configuration/records.py
+++ b/trefoilstage/configuration/records.py
@@ -20,7 +20,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Publish:
-    """Replace a file at the revision that its author edited, or -1 for a new file."""
+    """Replace a file.
+
+    `base_revision` is the revision that the author edited, -1 for a new file.
+    """
 
     operation: Name
     name: FileName
@@ -32,7 +35,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Remove:
-    """Remove a file at the revision that its author read."""
+    """Remove a file; `base_revision` is the revision that the author read."""
 
     operation: Name
     name: FileName
--- a/trefoilstage/configuration/schema.py
+++ b/trefoilstage/configuration/schema.py
@@ -22,7 +22,7 @@
 
 
 class TargetState(StrEnum):
-    """Enumerate whether a target may receive new requests."""
+    """Enumerate the states of a target; a leaving one receives no new requests."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -50,7 +50,7 @@
 
 
 class SiteConfig(Section):
-    """Describe a site with its power ceiling in watts."""
+    """Describe a site, whose targets share a power ceiling in watts."""
 
     data_center: Identifier
     ceiling_watts: Count
@@ -64,7 +64,11 @@
 
 
 class TargetConfig(Section):
-    """Describe a model engine that serves one model."""
+    """Describe a model engine that serves one model.
+
+    An engine that `checks_fencing` refuses the requests of a fenced holder. With
+    `fences_cancelled`, its report of what a cancelled request spent is final.
+    """
 
     model: Identifier
     site: Identifier
