--- a/tests/components/test_skip_decision.py
+++ b/tests/components/test_skip_decision.py
@@ -5,7 +5,7 @@
 
 from trefoilstage.components.log_client.skip_decision import (
     PeerPosition,
-    may_skip_record,
+    do_positions_allow_skip,
 )
 
 BEHIND = PeerPosition(incarnation="x-1", next_offset=3)
@@ -20,7 +20,7 @@
     def decide(self, **positions: PeerPosition | None) -> bool:
         """Return the decision given the positions of other hosts."""
         incarnations = dict.fromkeys(("a", "b", "c", "d"), "x-1")
-        return may_skip_record(
+        return do_positions_allow_skip(
             host="b", offset=5, positions=positions, incarnations=incarnations
         )
 
@@ -34,7 +34,9 @@
         self.assertFalse(self.decide(c=replace(BEHIND, has_record=True)))
 
     def test_host_without_a_state_never_skips_a_record(self) -> None:
-        decision = may_skip_record(host="b", offset=0, positions={}, incarnations={})
+        decision = do_positions_allow_skip(
+            host="b", offset=0, positions={}, incarnations={}
+        )
         self.assertFalse(decision)
 
     def test_one_replaced_host_is_tolerated_and_two_are_not(self) -> None:
@@ -45,7 +47,7 @@
         """
         self.assertTrue(self.decide(c=REPLACED, a=BEHIND))
         self.assertFalse(self.decide(c=REPLACED, a=BEHIND, d=REPLACED))
-        # A host that is not listed does not count as replaced.
+        # A host without a listed incarnation does not count as replaced.
         self.assertTrue(self.decide(c=REPLACED, e=REPLACED))
 
 
--- a/trefoilstage/components/log_client/__init__.py
+++ b/trefoilstage/components/log_client/__init__.py
@@ -1,1 +1,1 @@
-"""Append records to the log and fold each of its records once, in offset order."""
+"""Append records to the log and fold (apply) each record once, in offset order."""
--- a/trefoilstage/components/log_client/appended_records.py
+++ b/trefoilstage/components/log_client/appended_records.py
@@ -14,7 +14,7 @@
     """Cache the newest records of one stream that this host appended.
 
     A log with a short retention may drop a record as soon as another one is appended,
-    by the same group or another host. If no host has read it by then, every host is
+    in the same group or by another host. If no host has read it by then, every host is
     blocked at the gap permanently, unless the host that appended the record supplies
     it to itself and its peers.
     """
--- a/trefoilstage/components/log_client/checkpoints.py
+++ b/trefoilstage/components/log_client/checkpoints.py
@@ -1,7 +1,8 @@
 """Pack states into checkpoints, reassemble their parts, and schedule the writes.
 
-A checkpoint is the compressed state before an offset, written to the stream in one or
-more records, so that a host can start where the log has dropped older records.
+A checkpoint is the compressed state before the record at an offset is folded. It is
+written to the stream in one or more records, so that a host can start where the log has
+dropped older records.
 """
 
 import asyncio
@@ -168,7 +169,10 @@
             self.due_since = None
 
     def is_due(self, next_offset: int, now: float) -> bool:
-        """Return whether a checkpoint is due and not being written; store when due."""
+        """Return whether a checkpoint is due and not being written.
+
+        Store when it became due.
+        """
         if next_offset == 0 or self.is_writing:
             return False
         has_grown = next_offset - self.last_offset >= self.interval_records
--- a/trefoilstage/components/log_client/client.py
+++ b/trefoilstage/components/log_client/client.py
@@ -44,7 +44,8 @@
 class LogPage:
     """Represent the result of one read.
 
-    It is stale if it comes from a host that cannot reach the log either.
+    `next_offset` is the end of the stream as far as the source of the page knows it.
+    The page is stale if it comes from a host that cannot reach the log either.
     """
 
     records: tuple[LogRecord, ...]
@@ -73,7 +74,10 @@
     async def read(
         self, stream: str, offset: int, *, wait_s: float, timeout_s: float
     ) -> LogPage:
-        """Return records from an offset; wait up to wait_s for the first one."""
+        """Return records from an offset; wait up to wait_s for the first one.
+
+        Raise RecordsExpiredError if the log has dropped the record at the offset.
+        """
         wait_ms = int(wait_s * 1000)
         url = f"{self._url}/streams/{stream}/records?from={offset}&wait_ms={wait_ms}"
         body = await self._call("GET", url, timeout_s + wait_s, None)
--- a/trefoilstage/components/log_client/folds.py
+++ b/trefoilstage/components/log_client/folds.py
@@ -98,7 +98,7 @@
         return self.state.sequences.get(incarnation, -1)
 
     def get_restored_verdict(self, incarnation: str, record: Any) -> Verdict:
-        """Return the verdict that a restored state shows on a record of this host."""
+        """Return the verdict on a record of this host, as a restored state shows it."""
         return get_restored_ledger_verdict(record, self.state, incarnation)
 
 
@@ -161,7 +161,7 @@
         return self.state.sequences.get(incarnation, -1)
 
     def get_restored_verdict(self, incarnation: str, record: Any) -> Verdict:
-        """Return the verdict that a restored state shows on a record of this host."""
+        """Return the verdict on a record of this host, as a restored state shows it."""
         if isinstance(record, Publish | Remove):
             verdict = find_operation_verdict(self.state, record.operation)
             return verdict or Rejected(reason=Reason.NOT_READY)
@@ -174,7 +174,7 @@
 
 
 def check_version(version: int, stream_version: int) -> None:
-    """Reject records of a version that the stream does not use yet."""
+    """Raise MalformedMessageError for a version that the stream does not use yet."""
     # A host that supports a newer version would apply such a record and another
     # would skip it, so that their states would diverge. Until the stream has an
     # Upgrade record, hosts of all versions skip it.
@@ -196,9 +196,9 @@
 def get_restored_ledger_verdict(
     record: object, state: LedgerState, incarnation: str
 ) -> Verdict:
-    """Return the verdict that a state shows on a record of this host.
+    """Return the verdict on a record of this host, as a restored state shows it.
 
-    NOT_READY means that it does not show one; the caller must read the state itself.
+    NOT_READY means that it does not show one; the caller must look into the state.
     """
     return Rejected(reason=Reason.NOT_READY)
 
--- a/trefoilstage/components/log_client/interfaces.py
+++ b/trefoilstage/components/log_client/interfaces.py
@@ -12,7 +12,11 @@
     """Read and append records, directly at the log or through a peer host."""
 
     async def read(self, stream: str, offset: int, *, wait_s: float) -> LogPage:
-        """Return records from an offset; wait up to wait_s for the first one."""
+        """Return records from an offset; wait up to wait_s for the first one.
+
+        Raise RecordsExpiredError if the first one was dropped, and LogUnavailableError
+        if neither the log nor a peer responds.
+        """
 
     async def fetch_state(self, stream: str) -> PackedState | None:
         """Return a peer's state, for use if the log has no checkpoint."""
@@ -24,7 +28,10 @@
         """Return whether this host may skip the lost record at an offset."""
 
     async def is_folded_by_peer(self, stream: str, offset: int) -> bool:
-        """Return whether another live host, if any, has folded up to an offset."""
+        """Return whether a live peer has folded all records before an offset.
+
+        Return True if there is no live peer.
+        """
 
 
 class StreamFold(Protocol):
--- a/trefoilstage/components/log_client/reachability.py
+++ b/trefoilstage/components/log_client/reachability.py
@@ -1,8 +1,8 @@
-"""Track whether the log is reachable and compute its timeout; without I/O."""
+"""Track whether the log is reachable and set the timeout of calls; without I/O."""
 
 from dataclasses import dataclass
 
-SLOW_FACTOR = 3.0
+TIMEOUT_FACTOR = 3.0
 MAX_TIMEOUT_S = 20.0
 
 
@@ -25,7 +25,7 @@
         """Record a response; return whether the log was unreachable before."""
         was_up = self.is_up
         self.is_up = True
-        scaled_timeout_s = min(MAX_TIMEOUT_S, duration_s * SLOW_FACTOR)
+        scaled_timeout_s = min(MAX_TIMEOUT_S, duration_s * TIMEOUT_FACTOR)
         self.timeout_s = max(self.base_timeout_s, scaled_timeout_s)
         return not was_up
 
@@ -36,5 +36,5 @@
         return was_up
 
     def double_timeout(self) -> None:
-        """Double the timeout of the next probe."""
+        """Double the timeout for the next call that probes an unreachable log."""
         self.timeout_s = min(MAX_TIMEOUT_S, self.timeout_s * 2)
--- a/trefoilstage/components/log_client/record_cache.py
+++ b/trefoilstage/components/log_client/record_cache.py
@@ -10,16 +10,18 @@
 
 
 class RecordCache:
-    """Cache the newest records of each stream, except those that must not be read.
+    """Cache the newest records of each stream, except those at fenced offsets.
 
     A record may turn up after another host has skipped its offset, for example with a
     late response to its append. If this host folded it, its state would diverge from
-    all others. Offsets up to the fence are therefore known only through a state.
+    all others. A host that agrees to a skip therefore fences the offset: it no longer
+    reads records up to there, and gets past them only by skipping or restoring a state.
     """
 
     def __init__(self) -> None:
         self._tails: defaultdict[str, RecordTail] = defaultdict(RecordTail)
         self._appended: defaultdict[str, AppendedRecords] = defaultdict(AppendedRecords)
+        # The last fenced offset of each stream.
         self._fenced: dict[str, int] = {}
 
     def add_read(self, stream: str, page: LogPage) -> None:
@@ -54,7 +56,7 @@
         return tail.read(offset)
 
     def get_tail(self, stream: str) -> RecordTail | None:
-        """Return the tail of the records read of a stream, or None if empty."""
+        """Return the newest records read from a stream, or None if there are none."""
         tail = self._tails.get(stream)
         return tail if tail is not None and tail.next_offset else None
 
@@ -63,18 +65,18 @@
         return self._tails[stream].next_offset
 
     def fence(self, stream: str, offset: int) -> bool:
-        """Block the records up to an offset; return False if it is cached."""
+        """Fence all offsets up to one; return False if the record there is cached."""
         if self.find_records(stream, offset) is not None:
             return False
         self._fenced[stream] = max(offset, self._fenced.get(stream, offset))
         return True
 
     def is_fenced(self, stream: str, offset: int) -> bool:
-        """Return whether the record at an offset must not be read."""
+        """Return whether this host must no longer read the record at an offset."""
         return offset <= self._fenced.get(stream, -1)
 
     def get_first_unfenced_offset(self, stream: str) -> int:
-        """Return the first offset after the fence."""
+        """Return the first offset after the fenced ones."""
         return self._fenced.get(stream, -1) + 1
 
     def _drop_fenced(
--- a/trefoilstage/components/log_client/skip_decision.py
+++ b/trefoilstage/components/log_client/skip_decision.py
@@ -20,7 +20,7 @@
 def defers_to_peer(
     position: PeerPosition | None, name: str, *, host: str, offset: int
 ) -> bool:
-    """Return whether a host must leave the decision to skip the record to a peer."""
+    """Return whether a host must leave the decision on a skip to the named peer."""
     if position is None:
         return False
     if position.has_record or position.next_offset > offset:
@@ -28,7 +28,7 @@
     return position.next_offset == offset and name < host
 
 
-def may_skip_record(
+def do_positions_allow_skip(
     *,
     host: str,
     offset: int,
@@ -39,16 +39,17 @@
 
     A host that has folded the record may have acted on it, for example used a draw. If
     the others skipped it, the draw's tokens would count as free and be spent again.
-    Therefore every host must have replied (None: it has not) that it is not past the
-    offset and does not have the record. A host cannot know what its previous
-    incarnation had folded, so at most one of the listed hosts, whose incarnations are
-    in `incarnations`, may have been replaced.
+    Therefore every host must have replied that it is not past the offset and does not
+    have the record; the position of a host without a reply is None. A host cannot know
+    what its previous incarnation had folded, so at most one of the listed hosts, whose
+    incarnations are in `incarnations`, may have been replaced.
 
     Of several hosts at the same offset only the first by name skips the record, and the
     others copy its state. If each skipped it alone, their states could diverge when the
     log drops more records in the meantime.
     """
-    # A host without a state would lose the spend of the whole stream.
+    # A host that has folded nothing would continue from an empty state, without any
+    # spend that the stream has recorded.
     if offset == 0:
         return False
     n_replaced = 0
--- a/trefoilstage/components/log_client/stream.py
+++ b/trefoilstage/components/log_client/stream.py
@@ -1,4 +1,8 @@
-"""Read one stream of the log, fold its records and append this host's records."""
+"""Read one stream of the log, fold its records and append this host's records.
+
+A stream is a sequence of records by offset. To fold a record is to apply it to the
+stream's state.
+"""
 
 import asyncio
 import random
@@ -34,10 +38,10 @@
 
 RETRY_FIRST_S = 0.1
 RETRY_MAX_S = 1.0
-RECORDS_PER_STEP = 50
-# By then the log has replied to most appends in flight, so that few are sent again.
+RECORDS_BETWEEN_YIELDS = 50
+# Within this time the log responds to most appends in flight, so few are sent again.
 LOST_AFTER_S = 1.0
-SHARED_POLL_S = 0.05
+PEER_FOLD_POLL_S = 0.05
 
 RecordListener = Callable[[int, Any, Verdict], None]
 RankWriter = Callable[[str], int]
@@ -80,7 +84,7 @@
         self._listeners: list[RecordListener] = []
         # The next offset to read in search of a checkpoint; None while folding.
         self._seek: int | None = None
-        # When the next record starts to count as lost; None while records arrive.
+        # The time from which the next record counts as lost; None while records arrive.
         self._lost_at: float | None = None
         self._assembly = CheckpointAssembly()
         self._watch = CheckpointTracker()
@@ -122,7 +126,7 @@
             return verdict
         offset = self.fold.next_offset
         while not await self._source.is_folded_by_peer(self.name, offset):
-            await asyncio.sleep(SHARED_POLL_S)
+            await asyncio.sleep(PEER_FOLD_POLL_S)
         return verdict
 
     async def on_start(self) -> None:
@@ -176,8 +180,8 @@
         self.status.last_read = requested_at
 
     def _start_seek(self, earliest: int) -> None:
-        # The log has dropped records that this host still needs. Reading from the
-        # earliest record of the retention leads to a checkpoint.
+        # The log has dropped records that this host still needs. The search for a
+        # checkpoint starts at the earliest record that the log still has.
         if self._seek is None:
             log_event(
                 Event.STATE_EXPIRED,
@@ -216,9 +220,9 @@
 
     async def _skip_lost_record(self) -> bool:
         # If the response to an append was lost and the log dropped the record before
-        # any host read it, no host knows the record at that offset, and all hosts were
-        # blocked there permanently. The sender appends the record again, so that only
-        # the offset is lost.
+        # any host read it, no host knows the record at that offset, and all hosts would
+        # wait there permanently. The sender resends the record, so only the offset is
+        # lost.
         offset = self.fold.next_offset
         now = asyncio.get_running_loop().time()
         if self._lost_at is None or now < self._lost_at:
@@ -282,7 +286,7 @@
             if not self._fold_record(record):
                 return
             self._lost_at = None
-            if number % RECORDS_PER_STEP == 0:
+            if number % RECORDS_BETWEEN_YIELDS == 0:
                 self.status.next_offset = self.fold.next_offset
                 await asyncio.sleep(0)
         self.status.next_offset = self.fold.next_offset
--- a/trefoilstage/components/log_client/tail.py
+++ b/trefoilstage/components/log_client/tail.py
@@ -12,7 +12,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class RecordTail:
-    """Store consecutive records up to a limit in bytes."""
+    """Store the newest consecutive records, up to a limit in bytes."""
 
     max_bytes: int = MAX_TAIL_BYTES
     records: deque[LogRecord] = field(default_factory=deque)
--- a/trefoilstage/components/log_client/writer.py
+++ b/trefoilstage/components/log_client/writer.py
@@ -1,7 +1,7 @@
 """Queue this host's records of one stream and append them in order.
 
 Each record gets a sequence number of this host's incarnation. A verdict is the fold's
-acceptance or rejection of a record; it follows once the record was read back.
+acceptance or rejection of a record; it is known once the record has been read back.
 """
 
 import asyncio
@@ -23,9 +23,10 @@
 
 MAX_GROUP_RECORDS = 200
 MAX_GROUP_BYTES = 1_000_000
-# The response to an append usually arrives together with the record. Aborting the call
-# costs the connection to the log.
-RESPONSE_AFTER_FOLD_S = 0.2
+# How long an append may wait for its response after its records have been read back and
+# folded. The response usually arrives with them, and aborting the call would close the
+# connection to the log.
+MAX_RESPONSE_WAIT_AFTER_FOLD_S = 0.2
 
 Encode = Callable[[str, int, Any], bytes]
 
@@ -112,7 +113,10 @@
         return [ticket.future for ticket in tickets]
 
     def apply_verdict(self, envelope: Any, verdict: Verdict) -> None:
-        """Resolve the ticket of a folded record if this host submitted it."""
+        """Resolve the ticket of a folded record if this host submitted it.
+
+        A record rejected as out of order stays pending, because it is sent again.
+        """
         if envelope.incarnation != self._incarnation:
             return
         if isinstance(verdict, Rejected) and verdict.reason is Reason.OUT_OF_ORDER:
@@ -123,7 +127,7 @@
             self._on_verdict()
 
     def resend_lost(self, next_offset: int, last_sequence: int) -> None:
-        """Resend all pending records if the first lies before the offset unresolved.
+        """Resend all pending records if the first one was passed without a verdict.
 
         Raise SequenceForgottenError if the fold no longer knows this incarnation.
         """
@@ -177,8 +181,9 @@
             if group and n_bytes + len(encoded) > MAX_GROUP_BYTES:
                 break
             queue.popleft()
-            # The log would reject such a record on every attempt, or no host could fold
-            # it, and the records queued behind it would never be sent.
+            # The log would reject a record that is too large on every attempt, and no
+            # host could fold a malformed one; the records queued behind it would never
+            # be sent.
             record_error = self._find_record_error(encoded)
             if record_error:
                 resolve_ticket(
@@ -233,7 +238,7 @@
             return
 
     async def _append(self, group: list[Ticket], data: list[bytes]) -> int:
-        """Append a group; raise TimeoutError if folded before the response arrives."""
+        """Append a group; raise TimeoutError if folded long before the response."""
         self._group_in_flight = group
         try:
             async with asyncio.timeout(None) as self._append_timeout:
@@ -246,7 +251,7 @@
         if self._append_timeout is None or self._has_pending(self._group_in_flight):
             return
         now = asyncio.get_running_loop().time()
-        self._append_timeout.reschedule(now + RESPONSE_AFTER_FOLD_S)
+        self._append_timeout.reschedule(now + MAX_RESPONSE_WAIT_AFTER_FOLD_S)
         self._append_timeout = None
 
     def _has_pending(self, group: list[Ticket]) -> bool:
--- a/trefoilstage/components/peers/frames.py
+++ b/trefoilstage/components/peers/frames.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Frame(Generic[BodyT]):
-    """Carry a message and the number by which a reply is matched to its call."""
+    """Wrap a message with the number by which a reply is matched to its call."""
 
     number: Tokens
     reply: bool
--- a/trefoilstage/components/peers/link.py
+++ b/trefoilstage/components/peers/link.py
@@ -93,8 +93,9 @@
         # same address would stay out of reach until the kernel times out the old
         # connection, many minutes later.
         connection = self._connection
-        # On a full link the replies of all peers are slow. Closing the connection would
-        # fail the other calls on it, and reconnecting would use the same full link.
+        # If this host's network link is full, the replies of all peers are slow.
+        # Closing the connection would fail the other calls on it, and reconnecting
+        # would use the same full link.
         now = asyncio.get_running_loop().time()
         usual_s = self._round_trips.estimate_reply_s(now)
         if connection is None or now - called_at < max(
@@ -157,6 +158,6 @@
     try:
         await connection.send(data)
     except RuntimeError as error:
-        # The event loop may raise RuntimeError for a write to a closed transport. As an
-        # unexpected error, it would end the host.
+        # The event loop may raise RuntimeError for a write to a closed transport. An
+        # unexpected error here would end the host.
         raise ConnectionResetError("connection to peer lost") from error
--- a/trefoilstage/components/peers/log_peers.py
+++ b/trefoilstage/components/peers/log_peers.py
@@ -1,4 +1,4 @@
-"""Call the peers through which a host uses the log while it can't reach it."""
+"""Call the peers through which this host uses the log while it is out of reach."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -49,15 +49,15 @@
     async def call(self, name: str, message: PeerMessage) -> PeerMessage:
         """Return a peer's reply.
 
-        Raise PeerUnavailableError if it does not reply or is lost; the host that was
-        picked last as unconfirmed is called all the same.
+        Raise PeerUnavailableError if the peer does not reply or is lost. The
+        unconfirmed host that was picked last is called although it counts as lost.
         """
         url = self._get_live_urls().get(name)
         if url is None and name == self._unconfirmed_host:
             url = self.get_all_urls().get(name)
         if url is None:
-            # The peer was lost while another one was called. As an unexpected error,
-            # this ended hosts that lost the log and their peers at the same time.
+            # The peer was lost while another one was called. An unexpected error here
+            # ended hosts that lost the log and their peers at the same time.
             raise PeerUnavailableError(f"peer {name} is lost")
         return await self.call_at(url, message)
 
@@ -118,7 +118,7 @@
     def list_declared_lost(self) -> set[str]:
         """Return the hosts that an operator has declared lost.
 
-        No other host is to wait for them.
+        A decision to skip a record of the configuration does not wait for them.
         """
         now = asyncio.get_running_loop().time()
         declared = self._blackboard.declared_lost
--- a/trefoilstage/components/peers/positions.py
+++ b/trefoilstage/components/peers/positions.py
@@ -1,9 +1,9 @@
-"""Ask all hosts how far they have folded a stream."""
+"""Ask all hosts how far they have folded a stream, before a lost record is skipped."""
 
 from trefoilstage.components.log_client.skip_decision import (
     PeerPosition,
     defers_to_peer,
-    may_skip_record,
+    do_positions_allow_skip,
 )
 from trefoilstage.components.peers.log_peers import LogPeers
 from trefoilstage.components.peers.messages import ReadRecords, RecordsReply
@@ -14,12 +14,12 @@
 MAX_NAMES_LOGGED = 5
 
 
-async def may_skip_offset(
+async def do_peers_allow_skip(
     peers: LogPeers, stream: str, offset: int, *, fence: bool = False
 ) -> bool:
-    """Return whether this host may skip the record at an offset.
+    """Return whether this host may skip the record at an offset, by its peers' replies.
 
-    With `fence`, every host also has to promise not to fold that record.
+    With `fence`, every peer also has to promise not to fold that record.
     """
     message = ReadRecords(stream=stream, offset=offset, fence=fence)
     positions: dict[str, PeerPosition | None] = {}
@@ -27,7 +27,7 @@
     # only such a host has folded would count as free and be spent twice.
     lost = peers.list_declared_lost() if stream == CONFIG_STREAM else set()
     for name, url in sorted(peers.get_all_urls().items()):
-        position = await get_position(peers, url, message)
+        position = await fetch_position(peers, url, message)
         if position is None and name in lost:
             continue
         positions[name] = position
@@ -43,7 +43,7 @@
             offset=offset,
             unanswered=",".join(unresponsive[:MAX_NAMES_LOGGED]),
         )
-    return may_skip_record(
+    return do_positions_allow_skip(
         host=peers.host,
         offset=offset,
         positions=positions,
@@ -55,13 +55,13 @@
     )
 
 
-async def get_position(
+async def fetch_position(
     peers: LogPeers, url: str, message: ReadRecords
 ) -> PeerPosition | None:
     """Return how far a host has folded the stream.
 
     Return None if it does not reply or does not follow the stream, or if the message
-    asks for a fence and the host did not promise one.
+    asks for a fence and the host neither promised one nor has or folded the record.
     """
     try:
         reply = await peers.call_at(url, message)
--- a/trefoilstage/components/peers/relay.py
+++ b/trefoilstage/components/peers/relay.py
@@ -26,7 +26,7 @@
     ReadRecords,
     RecordsReply,
 )
-from trefoilstage.components.peers.positions import may_skip_offset
+from trefoilstage.components.peers.positions import do_peers_allow_skip
 from trefoilstage.components.peers.server import PeerServer
 from trefoilstage.components.peers.state_transfer import fetch_state
 from trefoilstage.exceptions import (
@@ -46,7 +46,7 @@
     """Use the log while it is in reach, otherwise the peers.
 
     A record is the same whichever host relays it. A peer replies to a read from its
-    memory or from the log, never through a third host, so calls can't loop.
+    cache or from the log, never through a third host, so calls can't loop.
     """
 
     def __init__(
@@ -70,7 +70,9 @@
             generator=generator,
         )
         self._kept = RecordCache()
+        # Set while the log is out of reach.
         self._lost = asyncio.Event()
+        # The stream that a probe of the log reads.
         self._probed = ""
         server.register(ReadRecords, self._answer_read)
         server.register(AppendRecords, self._answer_append)
@@ -147,7 +149,7 @@
 
     async def _search_peers(self, stream: str, offset: int) -> LogPage | None:
         # Only one or two hosts have such a record. So a reply without records does not
-        # end the search, and in a large fleet each search calls other peers.
+        # end the search, and in a large fleet each search calls different peers.
         message = ReadRecords(stream=stream, offset=offset)
         async for reply in self._peers.call_each(
             message, self._peers.pick_next_peers()
@@ -163,11 +165,11 @@
         """
         if not self._reach.is_up:
             return False
-        if not await may_skip_offset(self._peers, stream, offset):
+        if not await do_peers_allow_skip(self._peers, stream, offset):
             return False
         if not self._fence(stream, offset):
             return False
-        return await may_skip_offset(self._peers, stream, offset, fence=True)
+        return await do_peers_allow_skip(self._peers, stream, offset, fence=True)
 
     def _fence(self, stream: str, offset: int) -> bool:
         """Fence an offset and return whether it is fenced.
@@ -181,7 +183,10 @@
         return self._kept.fence(stream, offset)
 
     async def is_folded_by_peer(self, stream: str, offset: int) -> bool:
-        """Return whether another host has folded up to an offset, or none is live."""
+        """Return whether a live peer has folded all records before an offset.
+
+        Return True if there is no live peer.
+        """
         names = self._peers.list_preferred()
         message = ReadRecords(stream=stream, offset=offset)
         async for reply in self._peers.call_each(message, names):
@@ -225,8 +230,9 @@
         self._lost.set()
 
     async def _probe_log(self) -> None:
-        # A separate task probes the log, so that no read waits for it while it is out
-        # of reach. The timeout grows, so that a slow log is reached again eventually.
+        # A separate task probes the log, so that no read waits for the log while it is
+        # out of reach. The timeout grows, so that a slow log is reached again
+        # eventually.
         while True:
             await self._lost.wait()
             await asyncio.sleep(self._backoff.next_delay())
@@ -242,23 +248,23 @@
             self._lost.clear()
 
     async def _read_from_peers(self, stream: str, offset: int) -> LogPage:
-        stale: RecordsReply | None = None
-        expired: RecordsReply | None = None
+        stale_reply: RecordsReply | None = None
+        expired_reply: RecordsReply | None = None
         message = ReadRecords(stream=stream, offset=offset)
         async for reply in self._peers.call_each(message, self._peers.list_preferred()):
             if not isinstance(reply, RecordsReply):
                 continue
             if reply.expired:
-                expired = reply
+                expired_reply = reply
             elif reply.records or reply.fresh:
                 return make_page(reply)
-            elif stale is None or reply.next_offset > stale.next_offset:
-                stale = reply
-        if expired is not None:
-            raise RecordsExpiredError(earliest=expired.earliest)
-        if stale is None:
+            elif stale_reply is None or reply.next_offset > stale_reply.next_offset:
+                stale_reply = reply
+        if expired_reply is not None:
+            raise RecordsExpiredError(earliest=expired_reply.earliest)
+        if stale_reply is None:
             raise LogUnavailableError("neither the log nor a peer returned records")
-        return make_page(stale)
+        return make_page(stale_reply)
 
     async def _answer_read(self, message: ReadRecords) -> PeerMessage:
         if message.fence:
@@ -310,7 +316,7 @@
         first = await self._client.append(
             message.stream, list(message.records), timeout_s=self._reach.timeout_s
         )
-        # The calling host may end before it receives the reply.
+        # The calling host may end before it receives the reply and caches the records.
         self._kept.add_appended(message.stream, first, message.records)
         return AppendReply(first=first)
 
--- a/trefoilstage/components/peers/round_trips.py
+++ b/trefoilstage/components/peers/round_trips.py
@@ -1,4 +1,4 @@
-"""Estimate how long this host's messages wait on its own network link; no I/O."""
+"""Estimate how long this host's messages wait on its own network link; without I/O."""
 
 from collections import deque
 from dataclasses import dataclass, field
--- a/trefoilstage/components/peers/server.py
+++ b/trefoilstage/components/peers/server.py
@@ -29,9 +29,9 @@
         self._server: Server | None = None
         self._calls: set[asyncio.Task[None]] = set()
 
-    def register(self, kind: type[Any], handler: Handler) -> None:
+    def register(self, message_type: type[Any], handler: Handler) -> None:
         """Register the handler for messages of a type, replacing any previous one."""
-        self._handlers[kind] = handler
+        self._handlers[message_type] = handler
 
     async def on_start(self) -> None:
         """Start listening for connections."""
@@ -94,14 +94,14 @@
         self, connection: ServerConnection, frame: Frame[Any]
     ) -> None:
         if frame.reply:
-            # A one-way message is marked as a reply, so its sender waits for none.
+            # The sender marks a one-way message as a reply, so that it gets no reply.
             await self._handle_without_reply(frame.body)
             return
         try:
             body: Any = await self.handle(frame.body)
         except NotReadyError as error:
             body = ErrorReply(detail=str(error)[:200])
-        # Without an error reply the peer would wait for its whole timeout.
+        # Without an error reply, the caller would wait until its timeout.
         except Exception as error:
             log_event(
                 Event.PEER_CALL_FAILED,
--- a/trefoilstage/components/peers/snapshots.py
+++ b/trefoilstage/components/peers/snapshots.py
@@ -26,7 +26,7 @@
 
 
 class SnapshotServer:
-    """Serve a stream's state to peers; keep the last one for its further parts."""
+    """Serve a stream's state to peers in parts; keep it until the next is packed."""
 
     def __init__(self, *, server: PeerServer, pack: PackStream) -> None:
         self._pack = pack
@@ -49,8 +49,12 @@
     async def _get_packed_state(self, message: ReadState) -> PackedState:
         last = self._last_snapshot
         if message.offset is not None:
-            known = last is not None and last.stream == message.stream
-            if last is None or not known or last.packed.offset != message.offset:
+            is_same_stream = last is not None and last.stream == message.stream
+            if (
+                last is None
+                or not is_same_stream
+                or last.packed.offset != message.offset
+            ):
                 raise NotReadyError("the requested state was replaced by a newer one")
             return last.packed
         packed = await self._pack(message.stream)
