--- a/tests/components/faulty_log.py
+++ b/tests/components/faulty_log.py
@@ -23,10 +23,10 @@
 
     cut: bool = False
     frozen: bool = False
-    # Shares of the calls to the log, from 0 to 1.
-    lose_requests: float = 0.0
-    lose_answers: float = 0.0
-    late_answers: float = 0.0
+    # Shares of the calls to the log, from 0 to 1, that are affected.
+    lost_request_share: float = 0.0
+    lost_response_share: float = 0.0
+    late_response_share: float = 0.0
     late_s: float = 0.0
     late_appends_s: float = 0.0
     hold_reads: bool = False
@@ -90,14 +90,14 @@
         try:
             async with asyncio.timeout(timeout_s):
                 await asyncio.sleep(CALL_DELAY_S)
-                await self._transmit(faults.lose_requests)
+                await self._transmit(faults.lost_request_share)
                 if self.log.down:
                     raise LogUnavailableError("status 503")
                 yield self.log
                 await asyncio.sleep(CALL_DELAY_S)
-                if self.generator.random() < faults.late_answers:
+                if self.generator.random() < faults.late_response_share:
                     await self._delay(faults.late_s)
-                await self._transmit(faults.lose_answers)
+                await self._transmit(faults.lost_response_share)
         except TimeoutError as error:
             raise LogUnavailableError("timeout") from error
 
--- a/tests/components/log_fault_play.py
+++ b/tests/components/log_fault_play.py
@@ -1,6 +1,6 @@
 """Inject random faults into hosts on a log with a short retention.
 
-Run as a script with a range of seeds, it prints what each seed breaks.
+Run as a script with a range of seeds, this module prints the failures of each seed.
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 
 from bench.emulator.clock import run_virtually
 from tests.components.faulty_log import Faults
-from tests.components.log_faults import SETTLE_S, Cluster, Host
+from tests.components.log_faults import SYNC_TIMEOUT_S, Cluster, Host
 from trefoilstage.components.operators.server import VERDICT_TIMEOUT_S
 from trefoilstage.helpers.verdict import ACCEPTED, Verdict
 
@@ -47,7 +47,7 @@
     async def run(self) -> list[str]:
         """Return the failures that a caller or operator would observe."""
         cluster = self.cluster
-        await cluster.settle()
+        await cluster.wait_until_in_sync()
         cluster.log.n_kept = self.generator.choice((1, 1, 1, 2, 5))
         until = cluster.now() + FAULT_PHASE_S
         while cluster.now() < until:
@@ -92,8 +92,8 @@
         faults = cluster.hosts[name].faults
         at = cluster.now() + generator.choice(DURATIONS_S)
         kind = generator.choice(
-            ("cut", "frozen", "hold_reads", "lose_requests", "lose_answers")
-            + ("late_answers", "late_appends_s", "down", "disconnected")
+            ("cut", "frozen", "hold_reads", "lost_request_share", "lost_response_share")
+            + ("late_response_share", "late_appends_s", "down", "disconnected")
         )
         if kind == "down":
             cluster.log.down = True
@@ -105,7 +105,9 @@
             self.fault_ends.append((at, cluster.disconnected.clear))
             return
         faults.late_s = generator.choice(DELAYS_S)
-        value = {"late_appends_s": faults.late_s, "lose_requests": 0.5}.get(kind, True)
+        value = {"late_appends_s": faults.late_s, "lost_request_share": 0.5}.get(
+            kind, True
+        )
         setattr(faults, kind, value)
         self.fault_ends.append(
             (at, lambda: setattr(faults, kind, getattr(Faults(), kind)))
@@ -120,9 +122,9 @@
         live_changes = [item for item in self.changes if not item.host.is_dead]
         if live_changes:
             futures = [item.future for item in live_changes]
-            await asyncio.wait(futures, timeout=SETTLE_S)
+            await asyncio.wait(futures, timeout=SYNC_TIMEOUT_S)
         try:
-            await cluster.settle()
+            await cluster.wait_until_in_sync()
         except TimeoutError:
             return [*failures, "hosts did not reach the same offset"]
         for item in live_changes:
--- a/tests/components/log_faults.py
+++ b/tests/components/log_faults.py
@@ -33,7 +33,7 @@
 LOG_TIMEOUT_S = 0.5
 HEARTBEAT_S = 0.3
 SUSPECT_S = 1.5
-SETTLE_S = 30.0
+SYNC_TIMEOUT_S = 30.0
 
 
 class Host(Service):
@@ -208,7 +208,7 @@
         await self.hosts[name].start()
 
     async def kill(self, name: str) -> None:
-        """Stop a host and lose its state."""
+        """Stop a host; its state is lost."""
         host = self.hosts.pop(name)
         host.is_dead = True
         for task in host.verdict_tasks:
@@ -228,19 +228,19 @@
         return not (host.faults.frozen or other.faults.frozen)
 
     async def _update_peers(self) -> None:
-        heard_at: dict[tuple[str, str], float] = {}
+        received_at: dict[tuple[str, str], float] = {}
         while True:
             for name, host in self.hosts.items():
                 for peer, entry in host.board.config.hosts.items():
                     other = self.hosts.get(peer)
                     is_same = other and other.incarnation == entry.incarnation
                     if is_same and self.can_reach(host, peer):
-                        heard_at[name, entry.incarnation] = self.now()
-                    last = heard_at.get((name, entry.incarnation), 0.0)
+                        received_at[name, entry.incarnation] = self.now()
+                    last_received = received_at.get((name, entry.incarnation), 0.0)
                     host.board.peers[peer] = PeerStatus(
                         incarnation=entry.incarnation,
-                        last_heard=last,
-                        reachable=self.now() - last < SUSPECT_S,
+                        last_heard=last_received,
+                        reachable=self.now() - last_received < SUSPECT_S,
                     )
             await asyncio.sleep(HEARTBEAT_S)
 
@@ -255,7 +255,7 @@
         for host in self.hosts.values():
             host.faults = Faults()
 
-    def is_settled(self) -> bool:
+    def is_in_sync(self) -> bool:
         """Return whether every host lists all hosts and has folded the whole stream."""
         end = len(self.log.records)
         return all(
@@ -265,10 +265,10 @@
             for host in self.hosts.values()
         )
 
-    async def settle(self, timeout_s: float = SETTLE_S) -> None:
-        """Wait until the hosts have folded the whole stream, or raise TimeoutError."""
+    async def wait_until_in_sync(self, timeout_s: float = SYNC_TIMEOUT_S) -> None:
+        """Wait until the hosts are in sync, or raise TimeoutError."""
         async with asyncio.timeout(timeout_s):
-            while not self.is_settled():
+            while not self.is_in_sync():
                 await asyncio.sleep(CALL_DELAY_S)
 
     def submit(self, name: str, number: int) -> asyncio.Future[Verdict]:
@@ -293,9 +293,9 @@
             name for name, host in self.hosts.items() if file in host.board.config.files
         ]
 
-    def spawn(self, change: Coroutine[Any, Any, None]) -> None:
+    def spawn(self, start_or_kill: Coroutine[Any, Any, None]) -> None:
         """Start or kill a host in the background."""
-        task = asyncio.create_task(change)
+        task = asyncio.create_task(start_or_kill)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
--- a/tests/components/peers/test_link.py
+++ b/tests/components/peers/test_link.py
@@ -66,8 +66,8 @@
         """Guard against connections closed because this host's own link is full.
 
         Closing one failed all calls that waited on it. Homes counted as lost one after
-        the other, and hosts reconnected to each over the same link: 2,600 holds got no
-        reply at two hosts of 90 in 12 s.
+        the other, and hosts reconnected to each home over the same full link: 2,600
+        holds got no reply at two hosts of 90 in 12 s.
         """
         self.assertFalse(await self.call_unresponsive_peer(0.02))
 
--- a/tests/components/relays.py
+++ b/tests/components/relays.py
@@ -44,8 +44,8 @@
         if offset < earliest:
             raise RecordsExpiredError(earliest=earliest)
         records = tuple(
-            LogRecord(offset=place, data=self.records[place])
-            for place in range(offset, end)
+            LogRecord(offset=position, data=self.records[position])
+            for position in range(offset, end)
         )
         return LogPage(records=records, next_offset=end)
 
@@ -56,10 +56,10 @@
     def __init__(self, *, names: tuple[str, ...]) -> None:
         self.log = ShortLog()
         self.cut_hosts: set[str] = set()
-        # While set, no host gets a reply from the log to a read.
+        # While set, no host gets a response from the log to a read.
         self.reads_hang = False
-        # The number of next appends that take effect but get no reply.
-        self.n_replies_to_drop = 0
+        # How many of the next appends take effect but get no response.
+        self.n_responses_to_drop = 0
         self.boards: dict[str, Blackboard] = {}
         self.peers: dict[str, FakePeer] = {}
         self.relays: dict[str, RelayedLog] = {}
@@ -113,9 +113,9 @@
         self._handlers: dict[type, Handler] = {}
         self.is_unresponsive = False
 
-    def register(self, kind: type, handler: Handler) -> None:
+    def register(self, message_type: type, handler: Handler) -> None:
         """Register the handler for messages of a type."""
-        self._handlers[kind] = handler
+        self._handlers[message_type] = handler
 
     async def call(self, message: PeerMessage, *, timeout_s: float) -> PeerMessage:
         """Return the handler's reply, or raise PeerUnavailableError."""
@@ -141,19 +141,19 @@
     async def append(
         self, stream: str, records: list[bytes], *, timeout_s: float
     ) -> int:
-        """Append to the log unless cut from it; drop the reply if the fleet says so."""
+        """Append to the log unless cut from it; drop the response if so configured."""
         self._check()
         first = await self._fleet.log.append(stream, records, timeout_s=timeout_s)
-        if self._fleet.n_replies_to_drop > 0:
-            self._fleet.n_replies_to_drop -= 1
-            raise LogUnavailableError("reply lost")
+        if self._fleet.n_responses_to_drop > 0:
+            self._fleet.n_responses_to_drop -= 1
+            raise LogUnavailableError("response lost")
         return first
 
     async def read(
         self, stream: str, offset: int, *, wait_s: float, timeout_s: float
     ) -> LogPage:
         """Read from the log unless cut from it."""
-        # If the log replied without a pause, a host that reads in a loop would block
+        # If the log responded without a pause, a host that reads in a loop would block
         # the event loop.
         await asyncio.sleep(READ_S)
         self._check()
--- a/tests/components/test_log_faults.py
+++ b/tests/components/test_log_faults.py
@@ -5,7 +5,7 @@
 
 from bench.emulator.clock import run_virtually
 from tests.components.log_fault_play import run_seed
-from tests.components.log_faults import POLL_S, SETTLE_S, SUSPECT_S, Cluster
+from tests.components.log_faults import POLL_S, SUSPECT_S, SYNC_TIMEOUT_S, Cluster
 from tests.components.test_stream import wait_until
 from trefoilstage.components.operators.server import VERDICT_TIMEOUT_S
 from trefoilstage.components.peers.log_peers import PEER_TIMEOUT_S
@@ -20,7 +20,7 @@
 
 async def start_with_short_log(cluster: Cluster) -> None:
     """Wait until every host lists all others, then limit the log to one record."""
-    await cluster.settle()
+    await cluster.wait_until_in_sync()
     cluster.log.n_kept = 1
 
 
@@ -30,7 +30,7 @@
     def test_record_held_only_by_a_restarted_host_is_requested_from_it(self) -> None:
         """Guard against a search for records that omits a host not announced yet."""
 
-        async def act() -> None:
+        async def inject_faults() -> None:
             async with Cluster(names=NAMES) as cluster:
                 await start_with_short_log(cluster)
                 cluster.hosts["b"].faults.cut = cluster.hosts["c"].faults.cut = True
@@ -43,9 +43,9 @@
                 cluster.heal()
                 async with asyncio.timeout(VERDICT_TIMEOUT_S):
                     self.assertEqual(await cluster.submit("b", 2), ACCEPTED)
-                await cluster.settle()
+                await cluster.wait_until_in_sync()
 
-        run_virtually(act())
+        run_virtually(inject_faults())
 
     def test_group_whose_first_records_were_dropped_is_accepted_whole(self) -> None:
         """Guard against resent changes that are rejected as duplicates.
@@ -53,28 +53,28 @@
         The log drops the first records of a group and keeps the last one.
         """
 
-        async def act() -> None:
+        async def inject_faults() -> None:
             async with Cluster(names=NAMES) as cluster:
                 await start_with_short_log(cluster)
                 cluster.hosts["b"].faults.cut = cluster.hosts["c"].faults.cut = True
                 await asyncio.sleep(2 * PEER_TIMEOUT_S)
-                cluster.hosts["a"].faults.lose_answers = 1.0
+                cluster.hosts["a"].faults.lost_response_share = 1.0
                 futures = [cluster.submit("a", number) for number in range(3)]
                 await wait_until(lambda: len(cluster.log.records) == 6, "the group")
                 cluster.heal()
                 await wait_until(lambda: len(cluster.log.records) == 9, "a second copy")
                 cluster.log.n_kept = 4
-                async with asyncio.timeout(SETTLE_S):
+                async with asyncio.timeout(SYNC_TIMEOUT_S):
                     self.assertEqual(await asyncio.gather(*futures), [ACCEPTED] * 3)
-                await cluster.settle()
+                await cluster.wait_until_in_sync()
                 self.assertEqual(cluster.find_divergence(), [])
 
-        run_virtually(act())
+        run_virtually(inject_faults())
 
     def test_record_is_resent_when_the_response_arrives_after_its_loss(self) -> None:
         """Guard against a change without a verdict and a diverging state."""
 
-        async def act() -> None:
+        async def inject_faults() -> None:
             async with Cluster(names=NAMES, log_timeout_s=LATE_RESPONSE_S) as cluster:
                 await start_with_short_log(cluster)
                 host = cluster.hosts["c"]
@@ -97,23 +97,23 @@
                 cluster.disconnect("c", "a", "b")
                 await asyncio.sleep(LATE_RESPONSE_S)
                 cluster.heal()
-                async with asyncio.timeout(SETTLE_S):
+                async with asyncio.timeout(SYNC_TIMEOUT_S):
                     self.assertEqual(await late, ACCEPTED)
-                await cluster.settle()
+                await cluster.wait_until_in_sync()
                 self.assertEqual(cluster.find_divergence(), [])
 
-        run_virtually(act())
+        run_virtually(inject_faults())
 
     def test_verdict_is_in_time_after_a_record_that_no_host_has(self) -> None:
         """Guard against a publish that takes longer than its operator waits."""
 
-        async def act() -> None:
+        async def inject_faults() -> None:
             async with Cluster(names=NAMES) as cluster:
                 await start_with_short_log(cluster)
                 for host in cluster.hosts.values():
                     host.faults.hold_reads = True
                 await asyncio.sleep(POLL_S)
-                cluster.hosts["b"].faults.lose_answers = 1.0
+                cluster.hosts["b"].faults.lost_response_share = 1.0
                 lost = cluster.submit("b", 1)
                 await asyncio.sleep(STEP_S)
                 cluster.submit("c", 2)
@@ -123,26 +123,26 @@
                     self.assertEqual(await cluster.submit("a", 3), ACCEPTED)
                     self.assertEqual(await lost, ACCEPTED)
 
-        run_virtually(act())
+        run_virtually(inject_faults())
 
     def test_late_response_does_not_delay_the_next_change(self) -> None:
         """Guard against waiting for the response to a record that was read back."""
 
-        async def act() -> None:
+        async def inject_faults() -> None:
             async with Cluster(names=NAMES, log_timeout_s=LATE_RESPONSE_S) as cluster:
-                await cluster.settle()
+                await cluster.wait_until_in_sync()
                 cluster.hosts["a"].faults.late_appends_s = LATE_RESPONSE_S / 2
                 first = cluster.submit("a", 1)
                 async with asyncio.timeout(VERDICT_TIMEOUT_S):
                     self.assertEqual(await first, ACCEPTED)
                     self.assertEqual(await cluster.submit("a", 2), ACCEPTED)
 
-        run_virtually(act())
+        run_virtually(inject_faults())
 
     def test_accepted_change_outlives_the_host_that_reported_it(self) -> None:
         """Guard against a verdict that is lost with the only host that knows it."""
 
-        async def act() -> None:
+        async def inject_faults() -> None:
             async with Cluster(names=NAMES) as cluster:
                 await start_with_short_log(cluster)
                 for name in ("b", "c"):
@@ -157,10 +157,10 @@
                 await cluster.kill("a")
                 await cluster.start("a")
                 cluster.heal()
-                await cluster.settle()
+                await cluster.wait_until_in_sync()
                 self.assertFalse(was_reported and not cluster.list_hosts_with(1))
 
-        run_virtually(act())
+        run_virtually(inject_faults())
 
     def test_stream_resumes_when_the_hosts_it_waits_for_are_declared_lost(self) -> None:
         """Guard against dead or replaced hosts that block the stream permanently."""
@@ -185,12 +185,12 @@
                     await cluster.start(name)
             cluster.heal()
             verdict = cluster.submit("a", 3)
-            await asyncio.sleep(SETTLE_S)
+            await asyncio.sleep(SYNC_TIMEOUT_S)
             self.assertFalse(verdict.done())
-            until = cluster.now() + SETTLE_S
+            until = cluster.now() + SYNC_TIMEOUT_S
             for host in cluster.hosts.values():
                 host.board.declared_lost = dict.fromkeys(("c", "d"), until)
-            async with asyncio.timeout(SETTLE_S):
+            async with asyncio.timeout(SYNC_TIMEOUT_S):
                 self.assertEqual(await verdict, ACCEPTED)
 
     def test_random_faults_cause_no_divergence_and_lose_no_change(self) -> None:
--- a/tests/components/test_lost_records.py
+++ b/tests/components/test_lost_records.py
@@ -88,7 +88,7 @@
         for member in self.members:
             await wait_until(lambda m=member: m.stream.fold.next_offset == 1, "both")
         fleet.reads_hang = True
-        fleet.n_replies_to_drop = 2
+        fleet.n_responses_to_drop = 2
         ticket = first.submit(make_publish(2))
         await wait_until(lambda: len(fleet.log.records) >= 4, "the copies")
         fleet.log.n_kept = n_kept
@@ -134,7 +134,8 @@
     async def test_no_host_skips_a_record_while_a_host_is_unreachable(self) -> None:
         """Lose a record as above, with a fourth host that does not respond.
 
-        It may have read the record and acted on it, for example used a draw of tokens.
+        That host may have read the record and acted on it, for example used a draw
+        of tokens.
         A host that skipped the record would count those tokens as free and spend them
         again, so all hosts wait for the fourth.
         """
@@ -146,7 +147,7 @@
         self.assertFalse(ticket.future.done())
         for member in self.members:
             self.assertEqual(member.stream.fold.next_offset, 1)
-        # Once it replies that it has not read the record either, they skip it.
+        # Once the fourth replies that it has not read the record either, they skip it.
         fleet.peers["d"].is_unresponsive = False
         fleet.boards["d"].streams["config"] = StreamStatus(next_offset=1)
         async with asyncio.timeout(TIMEOUT_S):
--- a/tests/components/test_relay.py
+++ b/tests/components/test_relay.py
@@ -50,7 +50,7 @@
         """Guard against a host that ends when a peer is lost during a read.
 
         A host without the log calls two peers. The first does not reply, and meanwhile
-        the second is removed from the list. The read has to fail as unavailable; the
+        the second is removed from the list. The read must fail as unavailable; the
         host ended instead, with all its callers' requests.
         """
         board = Blackboard(host="h", incarnation="h-1", data_center="brest")
@@ -75,7 +75,7 @@
         self.fleet = RelayFleet(names=("a", "b", "c"))
 
     async def test_record_appended_for_a_peer_is_read(self) -> None:
-        """Guard against a change that a peer appended for another host and no one kept.
+        """Guard against a change that a peer appended for a host and no host cached.
 
         After an outage, the first host that reaches the log appends for the others. A
         log that keeps one record drops the change when a checkpoint is appended. All
--- a/tests/components/test_stream.py
+++ b/tests/components/test_stream.py
@@ -1,4 +1,4 @@
-"""Test a stream on a log in memory that loses responses, records or access."""
+"""Test a stream on a log in memory that loses calls or records or can't be read."""
 
 import asyncio
 import random
@@ -32,8 +32,8 @@
 
     records: dict[int, bytes] = field(default_factory=dict)
     next_offset: int = 0
-    lose_requests: int = 0
-    lose_answers: int = 0
+    n_requests_to_lose: int = 0
+    n_responses_to_lose: int = 0
     is_broken: bool = False
 
     @property
@@ -42,16 +42,16 @@
         return min(self.records, default=self.next_offset)
 
     async def append(self, stream: str, records: list[bytes]) -> int:
-        """Append records; lose as many requests and responses as configured."""
-        if self.lose_requests > 0:
-            self.lose_requests -= 1
+        """Append records; lose as many requests, then responses, as configured."""
+        if self.n_requests_to_lose > 0:
+            self.n_requests_to_lose -= 1
             raise LogUnavailableError("request lost")
         first = self.next_offset
         for data in records:
             self.records[self.next_offset] = data
             self.next_offset += 1
-        if self.lose_answers > 0:
-            self.lose_answers -= 1
+        if self.n_responses_to_lose > 0:
+            self.n_responses_to_lose -= 1
             raise LogUnavailableError("response lost")
         return first
 
@@ -76,7 +76,7 @@
 
 @dataclass(kw_only=True)
 class LogLink:
-    """Connect one host to the log; its reads can be cut separately."""
+    """Connect one host to the log; its reads can be cut off, its appends cannot."""
 
     log: MemoryLog
     cut_reads: bool = False
@@ -115,7 +115,9 @@
 class Follower(Service):
     """Run one stream as a host does."""
 
-    def __init__(self, *, log: MemoryLog, name: str, every: int = 1_000_000) -> None:
+    def __init__(
+        self, *, log: MemoryLog, name: str, checkpoint_interval: int = 1_000_000
+    ) -> None:
         super().__init__()
         self.blackboard = Blackboard(host=name, incarnation=name, data_center="d")
         self.link = LogLink(log=log)
@@ -126,7 +128,9 @@
             fold=ConfigFold(blackboard=self.blackboard),
             status=StreamStatus(),
             poll_s=POLL_S,
-            schedule=CheckpointSchedule(interval_records=every, interval_s=3600.0),
+            schedule=CheckpointSchedule(
+                interval_records=checkpoint_interval, interval_s=3600.0
+            ),
             rank_writer=lambda _: 0,
             generator=random.Random(name),
         )
@@ -161,9 +165,13 @@
         self.log = MemoryLog()
         self.started: list[Follower] = []
 
-    async def start(self, name: str, *, every: int = 1_000_000) -> Follower:
+    async def start(
+        self, name: str, *, checkpoint_interval: int = 1_000_000
+    ) -> Follower:
         """Start a follower that is stopped at the end of the test."""
-        follower = Follower(log=self.log, name=name, every=every)
+        follower = Follower(
+            log=self.log, name=name, checkpoint_interval=checkpoint_interval
+        )
         self.started.append(follower)
         await follower.start()
         return follower
@@ -183,8 +191,8 @@
         verdicts: list[Verdict] = []
         follower.stream.subscribe(lambda _, __, verdict: verdicts.append(verdict))
         follower.link.cut_reads = True
-        self.log.lose_requests = 1
-        self.log.lose_answers = 2
+        self.log.n_requests_to_lose = 1
+        self.log.n_responses_to_lose = 2
         tickets = [follower.stream.submit(make_publish(1))]
         await wait_until(lambda: self.log.next_offset == 3, "three copies")
         tickets.append(follower.stream.submit(make_publish(2)))
@@ -227,10 +235,10 @@
         only the checkpoint, and still learns that its change was accepted.
         """
         writer = await self.start("a")
-        other = await self.start("b", every=1)
+        other = await self.start("b", checkpoint_interval=1)
         await wait_until(lambda: writer.stream.status.caught_up, "the writer")
         writer.link.cut_reads = True
-        self.log.lose_answers = 1
+        self.log.n_responses_to_lose = 1
         ticket = writer.stream.submit(make_publish(1))
         await wait_until(lambda: other.stream.fold.next_offset > 2, "the checkpoint")
         self.assertFalse(ticket.future.done())
@@ -255,7 +263,7 @@
             async with asyncio.timeout(TIMEOUT_S):
                 verdict = await first.stream.submit(make_publish(number, text)).future
             self.assertEqual(verdict, ACCEPTED)
-        writer = await self.start("b", every=n_files)
+        writer = await self.start("b", checkpoint_interval=n_files)
         await wait_until(lambda: self.log.next_offset > n_files, "the checkpoint")
         parts = [self.log.records[n] for n in range(n_files, self.log.next_offset)]
         self.assertGreater(len(parts), 1)
