--- a/bench/emulator/network.py
+++ b/bench/emulator/network.py
@@ -90,12 +90,16 @@
         value: bytes | None,
         *,
         partition: int = 0,
-        at: int | None = None,
+        expected_end_offset: int | None = None,
     ) -> int | None:
-        """Write a key and return its offset, None if the topic didn't end at `at`."""
+        """Write a key; return its offset, or None if the end offset differs."""
         await self._call_store()
         offset = await self._shared_store.store.put(
-            topic, key, value, partition=partition, at=at
+            topic,
+            key,
+            value,
+            partition=partition,
+            expected_end_offset=expected_end_offset,
         )
         self._shared_store.notify_change(topic)
         return offset
--- a/standins/keyed_store.py
+++ b/standins/keyed_store.py
@@ -80,16 +80,20 @@
         value: bytes | None,
         *,
         partition: int = 0,
-        at: int | None = None,
+        expected_end_offset: int | None = None,
     ) -> int | None:
         """Write a key and return its offset.
 
-        Return None, with nothing written, if `at` is given and is not the
-        partition's end offset.
+        Return None, with nothing written, if `expected_end_offset` is given and is
+        not the partition's end offset.
         """
         self._check_available()
         write = DelayedWrite(
-            topic=topic, key=key, value=value, partition=partition, expected_offset=at
+            topic=topic,
+            key=key,
+            value=value,
+            partition=partition,
+            expected_offset=expected_end_offset,
         )
         if self.generator.random() < self.late_share:
             self.late.append(write)
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -88,7 +88,9 @@
             record.key,
             record.value,
             partition=part,
-            at=None if expected_offset is None else int(expected_offset),
+            expected_end_offset=None
+            if expected_offset is None
+            else int(expected_offset),
         )
         if offset is None:
             return web.json_response({"end_offset": 0}, status=412)
--- a/tests/components/faulty_log.py
+++ b/tests/components/faulty_log.py
@@ -81,7 +81,7 @@
             )
         if offset < earliest:
             raise RecordsExpiredError(earliest=earliest)
-        return LogPage(records=kept, next_offset=end)
+        return LogPage(records=kept, end_offset=end)
 
     @asynccontextmanager
     async def _call(self, timeout_s: float) -> AsyncIterator[FaultyLog]:
--- a/tests/components/fleet/test_membership.py
+++ b/tests/components/fleet/test_membership.py
@@ -73,7 +73,7 @@
         for _ in range(120):
             await fleet.send_heartbeats()
             for host in fleet.hosts.values():
-                self.assertEqual(len(host.list_live()), N_HOSTS)
+                self.assertEqual(len(host.list_live_hosts()), N_HOSTS)
 
     async def test_lost_host_is_noticed_everywhere(self) -> None:
         """Guard against a lost host kept live by outdated states that peers pass on."""
@@ -85,7 +85,7 @@
             await fleet.send_heartbeats()
         for name, host in fleet.hosts.items():
             if name != "host-7":
-                self.assertNotIn("host-7", host.list_live())
+                self.assertNotIn("host-7", host.list_live_hosts())
 
     def test_calls_do_not_grow_with_the_fleet(self) -> None:
         fleet = FakeFleet()
--- a/tests/components/relays.py
+++ b/tests/components/relays.py
@@ -47,7 +47,7 @@
             LogRecord(offset=position, data=self.records[position])
             for position in range(offset, end)
         )
-        return LogPage(records=records, next_offset=end)
+        return LogPage(records=records, end_offset=end)
 
 
 class RelayFleet:
--- a/tests/components/test_log_faults.py
+++ b/tests/components/test_log_faults.py
@@ -4,8 +4,8 @@
 import unittest
 
 from bench.emulator.clock import run_virtually
-from tests.components.log_fault_play import run_seed
 from tests.components.log_faults import POLL_S, SUSPECT_S, SYNC_TIMEOUT_S, Cluster
+from tests.components.random_log_faults import run_seed
 from tests.components.test_stream import wait_until
 from trefoilstage.components.operators.server import VERDICT_TIMEOUT_S
 from trefoilstage.components.peers.log_peers import PEER_TIMEOUT_S
--- a/tests/components/test_stream.py
+++ b/tests/components/test_stream.py
@@ -66,7 +66,7 @@
             LogRecord(offset=position, data=self.records[position])
             for position in range(offset, self.next_offset)
         )
-        return LogPage(records=found, next_offset=self.next_offset)
+        return LogPage(records=found, end_offset=self.next_offset)
 
     def expire(self, before: int) -> None:
         """Drop the records before an offset."""
--- a/trefoilstage/assembly.py
+++ b/trefoilstage/assembly.py
@@ -18,7 +18,7 @@
 from trefoilstage.components.log_client.client import LogClient
 from trefoilstage.components.log_client.streams import Streams
 from trefoilstage.components.membership.controller import MembershipController
-from trefoilstage.components.operators.metrics import MetricsController
+from trefoilstage.components.operators.metrics_controller import MetricsController
 from trefoilstage.components.operators.server import OperatorServer
 from trefoilstage.components.peers.links import PeerLinks
 from trefoilstage.components.peers.messages import PEER_CODEC
--- a/trefoilstage/cli/log.py
+++ b/trefoilstage/cli/log.py
@@ -77,7 +77,7 @@
                 for record in page.records:
                     print(format_record(self.stream, record, as_json=self.json))
                     offset = record.offset + 1
-                if not self.follow and offset >= page.next_offset:
+                if not self.follow and offset >= page.end_offset:
                     return
 
 
--- a/trefoilstage/components/budget/messages.py
+++ b/trefoilstage/components/budget/messages.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Literal
 
-from trefoilstage.helpers.field_types import Name, Tokens
+from trefoilstage.helpers.field_types import ShortText, UInt53
 from trefoilstage.ledger.records import BilledRequest, OpenRequest
 
 
@@ -17,13 +17,13 @@
     `before` is the draw's total spend before the ended requests.
     """
 
-    draw: Name
-    stream: Tokens
-    sequence: Tokens
-    before: Tokens
+    draw: ShortText
+    stream: UInt53
+    sequence: UInt53
+    before: UInt53
     ended: tuple[BilledRequest, ...] = ()
     opened: tuple[OpenRequest, ...] = ()
-    targets: tuple[Name, ...] = ()
+    targets: tuple[ShortText, ...] = ()
     kind: Literal["bound"] = "bound"
 
 
@@ -40,7 +40,7 @@
 class Starved:
     """Ask a peer to give back what no request holds of an account."""
 
-    account: Name
+    account: ShortText
     kind: Literal["starved"] = "starved"
 
 
@@ -48,7 +48,7 @@
 class StarvedReply:
     """Report to a starved host how many tokens are being given back."""
 
-    returned: Tokens
+    returned: UInt53
     kind: Literal["starved_reply"] = "starved_reply"
 
 
--- a/trefoilstage/components/crashes/models.py
+++ b/trefoilstage/components/crashes/models.py
@@ -6,7 +6,7 @@
 
 from trefoilstage.components.views.keyed_view import KeyedRecord
 from trefoilstage.exceptions import MalformedMessageError
-from trefoilstage.helpers.field_types import Name
+from trefoilstage.helpers.field_types import ShortText
 
 SEPARATOR = "/"
 # Keeps a record's key within the 255 bytes that the store accepts.
@@ -17,8 +17,8 @@
 class Crash:
     """Represent that a target stopped while a request was starting to run there."""
 
-    fingerprint: Name  # of the request
-    target: Name  # its incarnation, or a digest if that is long
+    fingerprint: ShortText  # of the request
+    target: ShortText  # its incarnation, or a digest if that is long
 
     @property
     def key(self) -> str:
--- a/trefoilstage/components/escrow/account_store.py
+++ b/trefoilstage/components/escrow/account_store.py
@@ -117,7 +117,7 @@
             account.workspace,
             ACCOUNT_CODEC.encode(record),
             partition=partition,
-            at=end_offset,
+            expected_end_offset=end_offset,
         )
         if offset is None:
             # An earlier write without a reply may be stored at this offset. Tokens that
--- a/trefoilstage/components/escrow/lock.py
+++ b/trefoilstage/components/escrow/lock.py
@@ -11,7 +11,7 @@
 
 from trefoilstage.const import MAX_RECORD_BYTES
 from trefoilstage.helpers.codec import Codec
-from trefoilstage.helpers.field_types import Name
+from trefoilstage.helpers.field_types import ShortText
 from trefoilstage.util.process_start import ProcessStart
 
 # Processes that were killed together started again after 0.9 to 1.3 s and read their
@@ -31,11 +31,11 @@
 class LockRecord:
     """Represent a host's promise as stored."""
 
-    incarnation: Name
-    boot: Name  # identifies the machine's boot, which restarts the monotonic clock
+    incarnation: ShortText
+    boot: ShortText  # identifies the machine's boot, which restarts the monotonic clock
     until: float  # seconds of that clock
     offset: float  # seconds from that clock to the time of day
-    untouched: tuple[Name, ...] = ()
+    untouched: tuple[ShortText, ...] = ()
 
 
 LOCK_CODEC: Codec[LockRecord] = Codec(
--- a/trefoilstage/components/escrow/messages.py
+++ b/trefoilstage/components/escrow/messages.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Literal
 
-from trefoilstage.helpers.field_types import Name, Tokens
+from trefoilstage.helpers.field_types import ShortText, UInt53
 from trefoilstage.helpers.verdict import Reason
 
 
@@ -11,10 +11,10 @@
 class HoldTokens:
     """Ask a workspace's home to hold tokens for a request of this host."""
 
-    workspace: Name
-    request: Name
-    tokens: Tokens
-    requester: Name  # the requesting incarnation
+    workspace: ShortText
+    request: ShortText
+    tokens: UInt53
+    requester: ShortText  # the requesting incarnation
     repeat: bool = False  # a further attempt for the same caller's request
     kind: Literal["hold_tokens"] = "hold_tokens"
 
@@ -23,7 +23,7 @@
 class HoldReply:
     """Reply to a hold with the incarnation that holds the tokens, or a refusal."""
 
-    incarnation: Name
+    incarnation: ShortText
     refused: Reason | None = None
     lock_wait_s: float = 0.0  # until the home may use its locked tokens
     kind: Literal["hold_reply"] = "hold_reply"
@@ -33,16 +33,16 @@
 class SettledHold:
     """Describe what a request spent of its hold."""
 
-    workspace: Name
-    request: Name
-    spent: Tokens
+    workspace: ShortText
+    request: ShortText
+    spent: UInt53
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SettleHolds:
     """Report to the incarnation that holds tokens what was spent of them."""
 
-    incarnation: Name
+    incarnation: ShortText
     holds: tuple[SettledHold, ...]
     kind: Literal["settle_holds"] = "settle_holds"
 
@@ -58,7 +58,7 @@
 class SealHome:
     """Ask a host to refuse all later grants of an ended incarnation."""
 
-    incarnation: Name
+    incarnation: ShortText
     kind: Literal["seal_home"] = "seal_home"
 
 
@@ -66,8 +66,8 @@
 class SealReply:
     """Reply with what this host used of the incarnation's grants, by workspace."""
 
-    incarnation: Name
-    used: dict[Name, Tokens]
+    incarnation: ShortText
+    used: dict[ShortText, UInt53]
     kind: Literal["seal_reply"] = "seal_reply"
 
 
--- a/trefoilstage/components/escrow/ranking.py
+++ b/trefoilstage/components/escrow/ranking.py
@@ -28,9 +28,9 @@
         """Return this host's rank for a workspace, by the hosts it knows to be live."""
         if self._board.phase is not Phase.SERVING:
             return HomeRank.NONE
-        homes = rank_by_rendezvous_cached(workspace, self._membership.list_live())[
-            : len(HOME_RANKS)
-        ]
+        homes = rank_by_rendezvous_cached(
+            workspace, self._membership.list_live_hosts()
+        )[: len(HOME_RANKS)]
         if self._board.host not in homes:
             return HomeRank.NONE
         return HOME_RANKS[homes.index(self._board.host)]
@@ -44,7 +44,9 @@
         are hosts that report that they reach the store. If no host does, the next hosts
         by rank are used.
         """
-        ranked = rank_by_rendezvous_cached(workspace, self._membership.list_live())
+        ranked = rank_by_rendezvous_cached(
+            workspace, self._membership.list_live_hosts()
+        )
         others = [host for host in ranked if host != self._board.host]
         if not others:
             return [self._board.host]
--- a/trefoilstage/components/escrow/record.py
+++ b/trefoilstage/components/escrow/record.py
@@ -8,31 +8,31 @@
 
 from trefoilstage.const import MAX_RECORD_BYTES
 from trefoilstage.helpers.codec import Codec
-from trefoilstage.helpers.field_types import Name, Tokens
+from trefoilstage.helpers.field_types import ShortText, UInt53
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Holder:
     """Describe what one incarnation drew and which hosts may get grants of it."""
 
-    host: Name
-    drawn: Tokens
-    spent: Tokens
+    host: ShortText
+    drawn: UInt53
+    spent: UInt53
     # The part of `drawn` that is not used while the host's lock is closed.
-    locked: Tokens = 0
+    locked: UInt53 = 0
     # The name of the roster: the incarnations that may have got grants, its witnesses.
-    roster: Name = ""
+    roster: ShortText = ""
     # What was used by incarnations that are no longer on the roster.
-    used_by_former: Tokens = 0
+    used_by_former: UInt53 = 0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AccountRecord:
     """Represent all draws on a workspace's prepaid tokens, by incarnation."""
 
-    holders: dict[Name, Holder] = field(default_factory=dict)
-    retired_drawn: Tokens = 0
-    retired_spent: Tokens = 0
+    holders: dict[ShortText, Holder] = field(default_factory=dict)
+    retired_drawn: UInt53 = 0
+    retired_spent: UInt53 = 0
 
     @property
     def drawn(self) -> int:
--- a/trefoilstage/components/escrow/rosters.py
+++ b/trefoilstage/components/escrow/rosters.py
@@ -17,7 +17,7 @@
 from trefoilstage.exceptions import MalformedMessageError
 from trefoilstage.helpers.codec import Codec
 from trefoilstage.helpers.events import Event, log_event
-from trefoilstage.helpers.field_types import Name
+from trefoilstage.helpers.field_types import ShortText
 from trefoilstage.util.hashing import hash_to_bucket
 
 # Rosters kept in memory; others are read or written again.
@@ -30,7 +30,7 @@
 class Roster:
     """List the incarnations that may get grants, by host."""
 
-    members: dict[Name, Name]
+    members: dict[ShortText, ShortText]
 
 
 ROSTER_CODEC: Codec[Roster] = Codec(message_type=Roster, max_bytes=MAX_RECORD_BYTES)
--- a/trefoilstage/components/fleet/known_hosts.py
+++ b/trefoilstage/components/fleet/known_hosts.py
@@ -49,7 +49,7 @@
         """Return after how many seconds without a heartbeat a host counts as lost."""
         return LOST_AFTER_LARGE_FLEET_S if self._board.is_large() else LOST_AFTER_S
 
-    def list_live(self, now: float) -> tuple[str, ...]:
+    def list_live_hosts(self, now: float) -> tuple[str, ...]:
         """Return the sorted names of the live hosts; omit this host while it drains."""
         return self._board.list_live_hosts(now, self.lost_after_s)
 
--- a/trefoilstage/components/fleet/membership.py
+++ b/trefoilstage/components/fleet/membership.py
@@ -116,9 +116,9 @@
         self._heartbeats_are_scheduled = False
         await self._send_heartbeats()
 
-    def list_live(self) -> tuple[str, ...]:
+    def list_live_hosts(self) -> tuple[str, ...]:
         """Return the sorted names of the live hosts; omit this host while it drains."""
-        return self._known_hosts.list_live(self._timer.now())
+        return self._known_hosts.list_live_hosts(self._timer.now())
 
     def count_hosts(self) -> int:
         """Return the number of hosts in the fleet, which share its limits."""
--- a/trefoilstage/components/fleet/messages.py
+++ b/trefoilstage/components/fleet/messages.py
@@ -12,7 +12,7 @@
 from trefoilstage.components.views.keyed_view import KeyedRecord
 from trefoilstage.components.views.store import Topic
 from trefoilstage.helpers.codec import Codec
-from trefoilstage.helpers.field_types import Name, Tokens
+from trefoilstage.helpers.field_types import ShortText, UInt53
 
 # The largest fleet; a heartbeat has one byte per host.
 MAX_HOSTS = 10_000
@@ -26,15 +26,15 @@
 class HostHeartbeat:
     """Report this host's status, and how far it has read each topic, to a peer."""
 
-    host: Name
-    incarnation: Name
-    peer_url: Name
-    data_center: Name
+    host: ShortText
+    incarnation: ShortText
+    peer_url: ShortText
+    data_center: ShortText
     serving: bool
     store_in_reach: bool
     next_offsets: dict[Topic, int]
     # Previous incarnations that never used their locked tokens; None until known.
-    untouched: tuple[Name, ...] | None = None
+    untouched: tuple[ShortText, ...] | None = None
     link_full: bool = False
     # The offset of this incarnation's record in the store, -1 before it has one.
     announced_at: Offset = -1
@@ -42,7 +42,7 @@
     # with this digest, or a byte by name if the sender doesn't have the peer's table.
     table: Digest = b""
     states: HostStates = b""
-    named_states: dict[Name, HostState] = field(default_factory=dict)
+    named_states: dict[ShortText, HostState] = field(default_factory=dict)
     kind: Literal["host_beat"] = "host_beat"
 
 
@@ -51,7 +51,7 @@
     """Request from a peer the newest records of a topic, starting at an offset."""
 
     topic: Topic
-    since: Tokens
+    since: UInt53
     kind: Literal["read_view"] = "read_view"
 
 
--- a/trefoilstage/components/forwarding/messages.py
+++ b/trefoilstage/components/forwarding/messages.py
@@ -10,14 +10,14 @@
 from trefoilstage.components.forwarding.models import PromptPart
 from trefoilstage.components.forwarding.prefill_speed import PrefillTotals
 from trefoilstage.components.forwarding.work import Work
-from trefoilstage.helpers.field_types import Count, Name
+from trefoilstage.helpers.field_types import Count, ShortText
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CachedPrompt:
     """Describe a prompt sent to a target, and the size of the target's KV cache."""
 
-    target: Name
+    target: ShortText
     kv_tokens: Count
     parts: tuple[PromptPart, ...]
 
@@ -26,10 +26,10 @@
 class WorkReport:
     """Report a host's work at each target and its prompts since the last report."""
 
-    host: Name
-    work: dict[Name, Work]
+    host: ShortText
+    work: dict[ShortText, Work]
     # Prefill totals that changed since the last report.
-    readings: dict[Name, PrefillTotals] = field(default_factory=dict)
+    readings: dict[ShortText, PrefillTotals] = field(default_factory=dict)
     prompts: tuple[CachedPrompt, ...] = ()
     kind: Literal["work_report"] = "work_report"
 
@@ -41,8 +41,8 @@
     The reply also contains how many tokens of a prompt each target has cached.
     """
 
-    host: Name
-    targets: tuple[Name, ...]
+    host: ShortText
+    targets: tuple[ShortText, ...]
     prompt: tuple[PromptPart, ...] = ()
     kind: Literal["ask_work"] = "ask_work"
 
@@ -51,9 +51,11 @@
 class WorkTotals:
     """Reply to a query with the work of all hosts except the querying one."""
 
-    work: dict[Name, Work]
-    kept: dict[Name, Count] = field(default_factory=dict)  # cached tokens of the prompt
-    readings: dict[Name, PrefillTotals] = field(default_factory=dict)
+    work: dict[ShortText, Work]
+    kept: dict[ShortText, Count] = field(
+        default_factory=dict
+    )  # cached tokens of the prompt
+    readings: dict[ShortText, PrefillTotals] = field(default_factory=dict)
     kind: Literal["work_totals"] = "work_totals"
 
 
--- a/trefoilstage/components/keys/messages.py
+++ b/trefoilstage/components/keys/messages.py
@@ -5,7 +5,7 @@
 
 from pydantic import Field
 
-from trefoilstage.helpers.field_types import Name, Tokens
+from trefoilstage.helpers.field_types import ShortText, UInt53
 
 Standing = Literal["granted", "held", "conflict"]
 Detail = Annotated[str, Field(max_length=1000)]
@@ -19,11 +19,11 @@
     run that this one replaces.
     """
 
-    key: Name
-    digest: Name
-    runner: Name
-    request: Name
-    replaces: Name = ""
+    key: ShortText
+    digest: ShortText
+    runner: ShortText
+    request: ShortText
+    replaces: ShortText = ""
     kind: Literal["claim_key"] = "claim_key"
 
 
@@ -32,8 +32,8 @@
     """Answer a claim; `runner` and `request` name the run of a held key."""
 
     standing: Standing
-    runner: Name = ""
-    request: Name = ""
+    runner: ShortText = ""
+    request: ShortText = ""
     kind: Literal["claim_reply"] = "claim_reply"
 
 
@@ -41,9 +41,9 @@
 class ReadRun:
     """Ask the host of a run for its chunks, starting at a position."""
 
-    key: Name
-    request: Name
-    position: Tokens
+    key: ShortText
+    request: ShortText
+    position: UInt53
     kind: Literal["read_run"] = "read_run"
 
 
@@ -54,8 +54,8 @@
     found: bool
     chunks: tuple[bytes, ...] = ()
     ended: bool = False
-    reason: Name = ""
-    effect: Name = ""
+    reason: ShortText = ""
+    effect: ShortText = ""
     detail: Detail = ""
     retry_after_s: float | None = None
     kind: Literal["run_page"] = "run_page"
--- a/trefoilstage/components/log_client/appended_records.py
+++ b/trefoilstage/components/log_client/appended_records.py
@@ -36,4 +36,4 @@
             records.append(record)
         if not records:
             return None
-        return LogPage(records=tuple(records), next_offset=offset + len(records))
+        return LogPage(records=tuple(records), end_offset=offset + len(records))
--- a/trefoilstage/components/log_client/client.py
+++ b/trefoilstage/components/log_client/client.py
@@ -44,12 +44,12 @@
 class LogPage:
     """Represent the result of one read.
 
-    `next_offset` is the end of the stream as far as the source of the page knows it.
+    `end_offset` is the end of the stream as far as the source of the page knows it.
     The page is stale if it comes from a host that cannot reach the log either.
     """
 
     records: tuple[LogRecord, ...]
-    next_offset: int
+    end_offset: int
     is_stale: bool = False
 
 
@@ -85,7 +85,7 @@
         records = tuple(
             LogRecord(offset=position, data=data) for position, data in response.records
         )
-        return LogPage(records=records, next_offset=response.next)
+        return LogPage(records=records, end_offset=response.next)
 
     async def _call(
         self, method: str, url: str, timeout_s: float, data: bytes | None
--- a/trefoilstage/components/log_client/stream.py
+++ b/trefoilstage/components/log_client/stream.py
@@ -201,7 +201,7 @@
             if packed is not None and self._restore(packed):
                 return
         self._seek = position
-        if position < page.next_offset:
+        if position < page.end_offset:
             return
         if not await self._recover_without_checkpoint():
             await asyncio.sleep(self._backoff.next_delay())
@@ -290,7 +290,7 @@
                 self.status.next_offset = self.fold.next_offset
                 await asyncio.sleep(0)
         self.status.next_offset = self.fold.next_offset
-        self.status.caught_up = self.fold.next_offset >= page.next_offset
+        self.status.caught_up = self.fold.next_offset >= page.end_offset
         self._resend_lost()
         self._write_checkpoint_if_due()
 
--- a/trefoilstage/components/log_client/tail.py
+++ b/trefoilstage/components/log_client/tail.py
@@ -52,4 +52,4 @@
             if page and n_page_bytes > MAX_PAGE_BYTES:
                 break
             page.append(record)
-        return LogPage(records=tuple(page), next_offset=self.next_offset)
+        return LogPage(records=tuple(page), end_offset=self.next_offset)
--- a/trefoilstage/components/operators/metrics.py
+++ b/trefoilstage/components/operators/metrics_controller.py
@@ -7,7 +7,7 @@
 
 from trefoilstage.blackboard import Blackboard
 from trefoilstage.components.log_client.streams import Streams
-from trefoilstage.components.operators.views import describe_budgets
+from trefoilstage.components.operators.descriptions import describe_budgets
 from trefoilstage.helpers.metrics import EventMeter, StatsdMetrics
 from trefoilstage.timer import TimerService
 
--- a/trefoilstage/components/operators/models.py
+++ b/trefoilstage/components/operators/models.py
@@ -4,7 +4,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field
 
-from trefoilstage.helpers.field_types import Name
+from trefoilstage.helpers.field_types import ShortText
 from trefoilstage.helpers.finding import Finding
 
 OperationId = Annotated[str, Field(min_length=8, max_length=64)]
@@ -135,7 +135,7 @@
 class DeclareLostBody(BaseModel):
     """Name hosts that are permanently lost."""
 
-    hosts: Annotated[list[Name], Field(min_length=1)]
+    hosts: Annotated[list[ShortText], Field(min_length=1)]
 
 
 class DeclareLostAnswer(BaseModel):
--- a/trefoilstage/components/operators/server.py
+++ b/trefoilstage/components/operators/server.py
@@ -11,6 +11,13 @@
 from trefoilstage.blackboard import Blackboard
 from trefoilstage.components.log_client.stream import StreamService, Ticket
 from trefoilstage.components.log_client.streams import Streams
+from trefoilstage.components.operators.descriptions import (
+    describe_budgets,
+    describe_files,
+    describe_hosts,
+    describe_status,
+    describe_targets,
+)
 from trefoilstage.components.operators.models import (
     BudgetAnswer,
     DeclareLostAnswer,
@@ -26,13 +33,6 @@
     TopUpBody,
     VerdictAnswer,
 )
-from trefoilstage.components.operators.views import (
-    describe_budgets,
-    describe_files,
-    describe_hosts,
-    describe_status,
-    describe_targets,
-)
 from trefoilstage.configuration.fold import NEW_FILE_REVISION
 from trefoilstage.configuration.records import Publish, Remove
 from trefoilstage.const import BUDGET_ACCOUNT_PREFIX
--- a/trefoilstage/components/peers/frames.py
+++ b/trefoilstage/components/peers/frames.py
@@ -7,7 +7,7 @@
 
 from trefoilstage.const import MAX_PEER_MESSAGE_BYTES
 from trefoilstage.helpers.codec import Codec
-from trefoilstage.helpers.field_types import Name, Tokens
+from trefoilstage.helpers.field_types import ShortText, UInt53
 
 BodyT = TypeVar("BodyT")
 
@@ -16,7 +16,7 @@
 class ErrorReply:
     """Report to the caller that its call failed."""
 
-    detail: Name
+    detail: ShortText
     kind: Literal["error_reply"] = "error_reply"
 
 
@@ -24,7 +24,7 @@
 class Frame(Generic[BodyT]):
     """Wrap a message with the number by which a reply is matched to its call."""
 
-    number: Tokens
+    number: UInt53
     reply: bool
     body: BodyT
 
--- a/trefoilstage/components/peers/messages.py
+++ b/trefoilstage/components/peers/messages.py
@@ -18,15 +18,15 @@
     make_frame_codec,
 )
 from trefoilstage.helpers.codec import Codec
-from trefoilstage.helpers.field_types import Name, Tokens
+from trefoilstage.helpers.field_types import ShortText, UInt53
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Heartbeat:
     """Show a peer that this incarnation is live."""
 
-    host: Name
-    incarnation: Name
+    host: ShortText
+    incarnation: ShortText
     kind: Literal["heartbeat"] = "heartbeat"
 
 
@@ -38,8 +38,8 @@
     promises never to fold it.
     """
 
-    stream: Name
-    offset: Tokens
+    stream: ShortText
+    offset: UInt53
     fence: bool = False
     kind: Literal["read_records"] = "read_records"
 
@@ -72,9 +72,9 @@
     If `offset` is set, the part has to belong to the state at that offset.
     """
 
-    stream: Name
-    part: Tokens = 0
-    offset: Tokens | None = None
+    stream: ShortText
+    part: UInt53 = 0
+    offset: UInt53 | None = None
     kind: Literal["read_state"] = "read_state"
 
 
@@ -82,10 +82,10 @@
 class StateReply:
     """Return a part of a stream's compressed state before an offset."""
 
-    offset: Tokens
+    offset: UInt53
     fold_version: int
     state: bytes
-    part: Tokens
+    part: UInt53
     n_parts: Annotated[int, Field(ge=1)]
     kind: Literal["state_reply"] = "state_reply"
 
@@ -94,7 +94,7 @@
 class AppendRecords:
     """Request that a peer append a group of records to the log."""
 
-    stream: Name
+    stream: ShortText
     records: tuple[bytes, ...]
     kind: Literal["append_records"] = "append_records"
 
--- a/trefoilstage/components/peers/relay.py
+++ b/trefoilstage/components/peers/relay.py
@@ -325,7 +325,7 @@
     """Return the page in a peer's reply."""
     return LogPage(
         records=tuple(list_records(reply)),
-        next_offset=reply.next_offset,
+        end_offset=reply.next_offset,
         is_stale=not reply.fresh and not reply.records,
     )
 
@@ -341,6 +341,6 @@
     return RecordsReply(
         offsets=tuple(record.offset for record in page.records),
         records=tuple(record.data for record in page.records),
-        next_offset=page.next_offset,
+        next_offset=page.end_offset,
         fresh=fresh,
     )
--- a/trefoilstage/components/views/store.py
+++ b/trefoilstage/components/views/store.py
@@ -61,9 +61,10 @@
         value: bytes | None,
         *,
         partition: int = 0,
-        at: int | None = None,
+        expected_end_offset: int | None = None,
     ) -> int | None:
         """Write a key's value and return its offset; a value of None deletes the key.
 
-        With `at`, write only if the topic ends at that offset, else return None.
+        With `expected_end_offset`, write only if the topic ends at that offset, else
+        return None.
         """
--- a/trefoilstage/configuration/records.py
+++ b/trefoilstage/configuration/records.py
@@ -11,7 +11,7 @@
 
 from trefoilstage.const import MAX_RECORD_BYTES, RECORD_VERSION
 from trefoilstage.helpers.codec import Codec
-from trefoilstage.helpers.field_types import Name
+from trefoilstage.helpers.field_types import ShortText
 from trefoilstage.ledger.records import Checkpoint, Upgrade
 
 FileName = Annotated[str, Field(pattern=r"^[0-9A-Za-z][0-9A-Za-z_-]{0,80}\.toml$")]
@@ -25,11 +25,11 @@
     `base_revision` is the revision that the author edited, -1 for a new file.
     """
 
-    operation: Name
+    operation: ShortText
     name: FileName
     content: str
     base_revision: Offset
-    author: Name = ""
+    author: ShortText = ""
     kind: Literal["publish"] = "publish"
 
 
@@ -37,10 +37,10 @@
 class Remove:
     """Remove a file; `base_revision` is the revision that the author read."""
 
-    operation: Name
+    operation: ShortText
     name: FileName
     base_revision: Offset
-    author: Name = ""
+    author: ShortText = ""
     kind: Literal["remove"] = "remove"
 
 
@@ -48,11 +48,11 @@
 class HostUp:
     """Announce a host's new incarnation and its addresses."""
 
-    host: Name
-    data_center: Name
-    caller_url: Name
-    operator_url: Name
-    peer_url: Name
+    host: ShortText
+    data_center: ShortText
+    caller_url: ShortText
+    operator_url: ShortText
+    peer_url: ShortText
     kind: Literal["host_up"] = "host_up"
 
 
@@ -60,7 +60,7 @@
 class HostDown:
     """Announce that an incarnation has left permanently."""
 
-    incarnation: Name
+    incarnation: ShortText
     kind: Literal["host_down"] = "host_down"
 
 
@@ -71,7 +71,7 @@
 class ConfigEnvelope:
     """Wrap a record with its writer's incarnation and sequence, which identify it."""
 
-    incarnation: Name
+    incarnation: ShortText
     sequence: Annotated[int, Field(ge=0, le=1 << 53)]
     record: Annotated[ConfigRecord, Field(discriminator="kind")]
     version: int = RECORD_VERSION
--- a/trefoilstage/fleet_board.py
+++ b/trefoilstage/fleet_board.py
@@ -86,9 +86,11 @@
         """Return whether a message from this incarnation was ever received."""
         return self.last_heard > float("-inf")
 
-    def is_live(self, now: float, silent_s: float) -> bool:
+    def is_live(self, now: float, lost_after_s: float) -> bool:
         """Return whether the peer serves and was heard from recently."""
-        return self.serving and not self.failed and now - self.last_heard <= silent_s
+        return (
+            self.serving and not self.failed and now - self.last_heard <= lost_after_s
+        )
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
--- a/trefoilstage/fleet_host.py
+++ b/trefoilstage/fleet_host.py
@@ -10,7 +10,7 @@
 from trefoilstage.components.crashes.probe import ConnectProbe
 from trefoilstage.components.fleet.board_updater import BoardUpdater
 from trefoilstage.components.fleet.messages import FLEET_CODEC
-from trefoilstage.components.fleet.metrics import MetricsServer
+from trefoilstage.components.fleet.metrics_server import MetricsServer
 from trefoilstage.components.forwarding.sender import TargetSender, open_target_session
 from trefoilstage.components.forwarding.server import ForwardingServer
 from trefoilstage.components.forwarding.translator import RequestTranslator
--- a/trefoilstage/fleet_parts.py
+++ b/trefoilstage/fleet_parts.py
@@ -170,7 +170,7 @@
         board=board,
         store=store,
         links=links,
-        list_live_hosts=membership.list_live,
+        list_live_hosts=membership.list_live_hosts,
     )
     crash_watcher = CrashWatcher(
         host=board.host,
@@ -178,7 +178,7 @@
         recorder=crash_recorder,
         server=peers,
         timer=timer,
-        list_live_hosts=membership.list_live,
+        list_live_hosts=membership.list_live_hosts,
     )
     pipeline = ForwardingPipeline(
         board=board,
--- a/trefoilstage/helpers/field_types.py
+++ b/trefoilstage/helpers/field_types.py
@@ -4,6 +4,6 @@
 
 from pydantic import Field
 
-Tokens = Annotated[int, Field(ge=0, le=1 << 53)]
-Name = Annotated[str, Field(max_length=300)]
+UInt53 = Annotated[int, Field(ge=0, le=1 << 53)]
+ShortText = Annotated[str, Field(max_length=300)]
 Count = Annotated[int, Field(ge=0)]
--- a/trefoilstage/ledger/records.py
+++ b/trefoilstage/ledger/records.py
@@ -12,7 +12,7 @@
 
 from trefoilstage.const import MAX_RECORD_BYTES, RECORD_VERSION
 from trefoilstage.helpers.codec import Codec
-from trefoilstage.helpers.field_types import Name, Tokens
+from trefoilstage.helpers.field_types import ShortText, UInt53
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -22,9 +22,9 @@
     The number identifies the request's hold within its draw.
     """
 
-    key: Name
-    tokens: Tokens
-    number: Tokens = 0
+    key: ShortText
+    tokens: UInt53
+    number: UInt53 = 0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -35,20 +35,20 @@
     there are none, no target can confirm what the request spent.
     """
 
-    number: Tokens
-    key: Name
-    tokens: Tokens
-    request: Name = ""
-    targets: tuple[Tokens, ...] = ()
+    number: UInt53
+    key: ShortText
+    tokens: UInt53
+    request: ShortText = ""
+    targets: tuple[UInt53, ...] = ()
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SetLimit:
     """Set an account's limit to its value in an accepted configuration revision."""
 
-    account: Name
-    limit: Tokens
-    revision: Tokens
+    account: ShortText
+    limit: UInt53
+    revision: UInt53
     kind: Literal["set_limit"] = "set_limit"
 
 
@@ -56,9 +56,9 @@
 class TopUp:
     """Add paid tokens to an account, once per operation."""
 
-    account: Name
-    amount: Tokens
-    operation: Name
+    account: ShortText
+    amount: UInt53
+    operation: ShortText
     kind: Literal["top_up"] = "top_up"
 
 
@@ -69,11 +69,11 @@
     At least `minimum` and at most `amount` are granted. `opens` allows a new draw.
     """
 
-    draw: Name
-    account: Name
-    amount: Tokens
-    minimum: Tokens
-    witness: Name
+    draw: ShortText
+    account: ShortText
+    amount: UInt53
+    minimum: UInt53
+    witness: ShortText
     opens: bool
     kind: Literal["draw"] = "draw"
 
@@ -82,8 +82,8 @@
 class Return:
     """Return unspent tokens or watts of a draw to its account."""
 
-    draw: Name
-    amount: Tokens
+    draw: ShortText
+    amount: UInt53
     kind: Literal["return"] = "return"
 
 
@@ -95,9 +95,9 @@
     the order in which they ended. A final settlement closes the draw.
     """
 
-    draw: Name
-    before: Tokens
-    spent: Tokens
+    draw: ShortText
+    before: UInt53
+    spent: UInt53
     final: bool = False
     requests: tuple[BilledRequest, ...] = ()
     kind: Literal["settle"] = "settle"
@@ -107,12 +107,12 @@
 class Seal:
     """End a lost holder's draw at the spend that its witness acknowledged."""
 
-    draw: Name
-    before: Tokens
-    spent: Tokens
+    draw: ShortText
+    before: UInt53
+    spent: UInt53
     requests: tuple[BilledRequest, ...] = ()
     opened: tuple[OpenRequest, ...] = ()
-    targets: tuple[Name, ...] = ()
+    targets: tuple[ShortText, ...] = ()
     kind: Literal["seal"] = "seal"
 
 
@@ -120,7 +120,7 @@
 class Resolve:
     """Settle holds of a sealed draw at the spend that the targets report."""
 
-    draw: Name
+    draw: ShortText
     requests: tuple[BilledRequest, ...]
     kind: Literal["resolve"] = "resolve"
 
@@ -132,8 +132,8 @@
     The targets refuse requests up to a fencing number, an offset of the ledger stream.
     """
 
-    draw: Name
-    fencing: Tokens
+    draw: ShortText
+    fencing: UInt53
     kind: Literal["release"] = "release"
 
 
@@ -141,10 +141,10 @@
 class Intent:
     """Claim the only run of a request that is not idempotent."""
 
-    key: Name
-    workspace: Name
-    service: Name
-    body_digest: Name
+    key: ShortText
+    workspace: ShortText
+    service: ShortText
+    body_digest: ShortText
     kind: Literal["intent"] = "intent"
 
 
@@ -156,10 +156,10 @@
     response was too large to store.
     """
 
-    key: Name
+    key: ShortText
     status: int
     body: bytes = b""
-    content_type: Name = "application/json"
+    content_type: ShortText = "application/json"
     known: bool = True
     whole: bool = True
     kind: Literal["outcome"] = "outcome"
@@ -169,7 +169,7 @@
 class Abandon:
     """Withdraw an intent whose owner has not run the request and will not run it."""
 
-    key: Name
+    key: ShortText
     kind: Literal["abandon"] = "abandon"
 
 
@@ -180,10 +180,10 @@
     The log may drop the records that the state includes.
     """
 
-    offset: Tokens
+    offset: UInt53
     fold_version: int
     state: bytes
-    part: Tokens = 0
+    part: UInt53 = 0
     n_parts: Annotated[int, Field(ge=1)] = 1
     kind: Literal["checkpoint"] = "checkpoint"
 
@@ -217,8 +217,8 @@
 class LedgerEnvelope:
     """Wrap a record with its writer's incarnation and sequence, which identify it."""
 
-    incarnation: Name
-    sequence: Tokens
+    incarnation: ShortText
+    sequence: UInt53
     record: Annotated[LedgerRecord, Field(discriminator="kind")]
     version: int = field(default=RECORD_VERSION)
 
--- a/trefoilstage/platform/store.py
+++ b/trefoilstage/platform/store.py
@@ -125,12 +125,12 @@
         value: bytes | None,
         *,
         partition: int = 0,
-        at: int | None = None,
+        expected_end_offset: int | None = None,
     ) -> int | None:
-        """Write a key; return its offset, or None if the topic did not end at `at`."""
+        """Write a key; return its offset, or None if the end offset differs."""
         params = {"topic": TOPIC_NAMES[topic], "part": str(partition)}
-        if at is not None:
-            params["at"] = str(at)
+        if expected_end_offset is not None:
+            params["at"] = str(expected_end_offset)
         body = encode_record(key, value)
         status, data = await self._call(
             "POST", "/trefoilstage/log-append", params, body=body
