--- a/bench/emulator/callers.py
+++ b/bench/emulator/callers.py
@@ -1,4 +1,4 @@
-"""Emulate callers that expect answers in time and retry once when told to."""
+"""Emulate callers that expect answers in time and retry once if a refusal allows it."""
 
 import asyncio
 import itertools
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -27,7 +27,7 @@
 
 
 def list_workspaces(scenario: Scenario) -> list[Workspace]:
-    """Return every workspace of a scenario; a table stands for `count` of them."""
+    """Return every workspace of a scenario; each table describes `count` workspaces."""
     return [
         Workspace(
             name=f"{table.name}-{number}",
--- a/tests/components/boards.py
+++ b/tests/components/boards.py
@@ -7,7 +7,7 @@
 
 
 def make_board(name: str, names: Iterable[str]) -> FleetBoard:
-    """Create a host's board on which all other hosts were heard at time 0."""
+    """Create a host's board on which all other hosts were last heard from at time 0."""
     board = FleetBoard(
         host=name, incarnation=name, data_center="brest", phase=Phase.SERVING
     )
--- a/tests/components/escrow/test_lock.py
+++ b/tests/components/escrow/test_lock.py
@@ -145,7 +145,7 @@
         return home._accounts[WORKSPACE].record.drawn
 
     async def restart_all(self, cluster: EscrowCluster, down_s: float) -> None:
-        """Kill all hosts at once and let another one become the home."""
+        """Kill all hosts simultaneously and let another one become the home."""
         cluster.timer.time += down_s
         for host in HOSTS:
             cluster.start(host)
--- a/tests/components/escrow/test_recovery.py
+++ b/tests/components/escrow/test_recovery.py
@@ -141,11 +141,11 @@
         held = await cluster.hold("quimper-1", "lorient-1", WORKSPACE, "b", 5_000)
         self.assertFalse(held)
 
-    async def test_restarted_home_is_not_taken_for_ended(self) -> None:
+    async def test_restarted_home_is_not_treated_as_ended(self) -> None:
         """Restart a home; a host without its new heartbeat reads its new record.
 
-        The host still knows the previous incarnation. If it took the new one for
-        ended, all hosts would refuse the home's grants until its next start.
+        The host still knows the previous incarnation. If it treated the new one
+        as ended, all hosts would refuse the home's grants until its next start.
         """
         cluster = EscrowCluster(prepaid=10_000, home="brest-1")
         for host in ("lorient-1", "quimper-1", "brest-1"):
--- a/tests/components/escrow/test_retry_after.py
+++ b/tests/components/escrow/test_retry_after.py
@@ -1,4 +1,4 @@
-"""Test when refused callers are told to retry."""
+"""Test the retry time that a refused caller receives."""
 
 import unittest
 
--- a/tests/components/escrow/test_start.py
+++ b/tests/components/escrow/test_start.py
@@ -35,7 +35,7 @@
     async def test_home_does_not_draw_while_the_live_hosts_change(self) -> None:
         """Check the stocks while the live hosts change and after they are stable.
 
-        A host that knows few others takes itself for the home of most workspaces. 83
+        A host that knows few others considers itself the home of most workspaces. 83
         starting hosts made 1,100 draws in a second that the store refused, besides 365
         that it accepted.
         """
--- a/tests/components/fleet/test_large_fleet.py
+++ b/tests/components/fleet/test_large_fleet.py
@@ -33,7 +33,7 @@
 
 
 class FakeHost:
-    """Run the membership of one host that has just heard all others."""
+    """Run the membership of one host that has just heard from all others."""
 
     def __init__(self, name: str, names: Iterable[str]) -> None:
         self.timer = ManualTimer()
@@ -186,7 +186,7 @@
     """Test how hosts of a large fleet learn of a restarted host's new incarnation."""
 
     async def make_host(self) -> FakeHost:
-        """Return a host that has heard a peer whose record has offset 5."""
+        """Return a host with a heartbeat of a peer whose record has offset 5."""
         host = FakeHost("host-0", list_names(N_HOSTS))
         await host.receive_heartbeat(make_heartbeat_of("host-7", "seven-1", 5))
         return host
@@ -239,9 +239,10 @@
     def test_failed_peer_is_called_in_the_next_round(self) -> None:
         """Guard against a home that stays out of use after a stall of a second.
 
-        A home that did not reply to a hold gets only heartbeats until it is heard
-        directly. With these sent by random choice, to two of 200 hosts per round, it
-        was out of use for half a minute, and other hosts drew tokens in its place.
+        A home that did not reply to a hold gets only heartbeats until it sends a
+        message itself. With these sent by random choice, to two of 200 hosts per
+        round, it was out of use for half a minute, and other hosts drew tokens in its
+        place.
         """
         host = FakeHost("host-0", list_names(N_HOSTS))
         host.board.peers["host-9"].failed = True
--- a/tests/components/forwarding/test_placement.py
+++ b/tests/components/forwarding/test_placement.py
@@ -51,8 +51,8 @@
     def test_new_subject_goes_to_the_same_target_from_each_host(self) -> None:
         """Place an uncached subject, with the targets in a different order.
 
-        If two hosts get the first two requests at once, the subject is processed on
-        only one target.
+        If two hosts get the first two requests at the same time, the subject is
+        processed on only one target.
         """
         self.assertEqual(place(), place(targets=TARGETS[::-1]))
 
--- a/tests/components/test_log_faults.py
+++ b/tests/components/test_log_faults.py
@@ -163,7 +163,7 @@
         run_virtually(inject_faults())
 
     def test_stream_resumes_when_the_hosts_it_waits_for_are_declared_lost(self) -> None:
-        """Guard against dead or replaced hosts that block the stream permanently."""
+        """Guard against lost or replaced hosts that block the stream permanently."""
         for is_replaced in (True, False):
             with self.subTest(is_replaced=is_replaced):
                 run_virtually(self.lose_hosts(is_replaced=is_replaced))
--- a/tests/fuzz/test_ledger_examples.py
+++ b/tests/fuzz/test_ledger_examples.py
@@ -118,7 +118,7 @@
         self.world.check()
 
     def test_retry_of_a_doubtful_key_releases_only_its_own_tokens(self) -> None:
-        """A host dies with a request that can still spend 40; its retry spends 10.
+        """Lose a host during a request that can still spend 40; its retry spends 10.
 
         The largest run of a key is billed, so 30 tokens of the first request stay
         in doubt until the target has reported what it spent.
--- a/tests/fuzz/test_ledger_machine.py
+++ b/tests/fuzz/test_ledger_machine.py
@@ -175,7 +175,7 @@
 
     @rule(place=PLACES, n_records=COUNTS, lost=st.booleans())
     def flush(self, place: int, n_records: int, lost: bool) -> None:
-        """Append queued records, also those of a dead host that were in flight."""
+        """Append queued records, including those in flight from a killed host."""
         self.world.flush(self.pick(place), n_records, lost=lost)
 
     @rule(place=PLACES, n_records=COUNTS, source=PLACES, restores=st.booleans())
--- a/tests/promises/test_forwarding.py
+++ b/tests/promises/test_forwarding.py
@@ -158,7 +158,7 @@
     """Test that the whole fleet stays within the prepaid tokens."""
 
     async def test_fleet_spends_no_more_than_was_prepaid(self) -> None:
-        """Send requests to three hosts at once, and kill one of them midway.
+        """Send requests to three hosts concurrently, and kill one of them midway.
 
         Each request spends 104 of 5,000 tokens. The hosts share the budget, one is
         killed with grants outstanding and restarted, and callers continue until they
@@ -185,7 +185,7 @@
             self.assertLessEqual(fleet.count_runs() * 104, 5_000)
 
     async def test_requests_under_one_id_hold_tokens_each(self) -> None:
-        """Send two requests with the same id at once, with tokens for one of them.
+        """Send two concurrent requests with the same id, with tokens for one of them.
 
         If the second request used the first one's hold, both would run and exceed the
         budget of 150 tokens by 58.
--- a/tests/util/test_startup.py
+++ b/tests/util/test_startup.py
@@ -23,7 +23,7 @@
         """Look for the cached bytecode of every module.
 
         Where Python may not write bytecode, each process of a fleet compiles every
-        module itself. Twelve hosts started at once on a busy machine were then not
+        module itself. Twelve hosts started together on a busy machine were then not
         listening within the launcher's timeout of 30 s.
         """
         missing = [
--- a/trefoilstage/components/booking/intents.py
+++ b/trefoilstage/components/booking/intents.py
@@ -98,7 +98,7 @@
     return Outcome(
         key=key,
         status=result.status,
-        # A caller could not tell a truncated body from a complete one.
+        # A caller could not distinguish a truncated body from a complete one.
         body=result.body if is_whole else b"",
         content_type=result.content_type[:100],
         whole=is_whole,
--- a/trefoilstage/components/escrow/account.py
+++ b/trefoilstage/components/escrow/account.py
@@ -193,8 +193,8 @@
     def is_nearly_spent(self, tokens: int) -> bool:
         """Return whether the tokens spent or held leave no room for a request.
 
-        Tokens drawn by lost hosts make a budget look used up. The caller is told
-        that its balance is too low only if the tokens were really spent or held.
+        Tokens drawn by lost hosts make a budget look used up. The refusal states
+        a low balance only if the tokens were really spent or held.
         """
         spent_by_others = self.record.spent - self._get_reported_spent()
         used = spent_by_others + self.spent + self.held
--- a/trefoilstage/components/escrow/home.py
+++ b/trefoilstage/components/escrow/home.py
@@ -45,10 +45,10 @@
 # When all hosts of a large fleet start, each home would otherwise write a roster at
 # every stock check. For a request from an unlisted host, it writes one immediately.
 ROSTER_UPDATE_INTERVAL_S = 1.0
-# While a large fleet starts, each host knows only some of the others and takes itself
-# for the home of many workspaces; the draws would exceed what the store accepts. Unless
-# a request waits for it, an account is first read when the live hosts have not changed
-# for this long.
+# While a large fleet starts, each host knows only some of the others and considers
+# itself the home of many workspaces; the draws would exceed what the store accepts.
+# Unless a request waits for it, an account is first read when the live hosts have not
+# changed for this long.
 STABLE_FLEET_S = 1.0
 # Attempts to recover an ended home's tokens are repeated at this interval, because a
 # witness may be out of reach.
--- a/trefoilstage/components/escrow/lock.py
+++ b/trefoilstage/components/escrow/lock.py
@@ -1,6 +1,6 @@
 """Prove that a home that has ended did not use its locked tokens; pure.
 
-When all hosts end at once, no witness can report what the homes had granted. A home
+When all hosts end together, no witness can report what the homes had granted. A home
 therefore stores a promise not to use part of its stock, the locked tokens, before a
 given time of its machine's monotonic clock, and extends the promise while the store
 responds. If its successor on the same machine starts before that time, the locked
--- a/trefoilstage/components/escrow/recovery.py
+++ b/trefoilstage/components/escrow/recovery.py
@@ -74,7 +74,7 @@
 
         Its host must have replied as another incarnation to a call made after the
         record was read. An earlier heartbeat may be older than the record: a live
-        home would be taken for ended and stay sealed until its next start. A host
+        home would be treated as ended and stay sealed until its next start. A host
         that does not respond may be paused or cut off, and continue later.
         """
         now = self._timer.now()
--- a/trefoilstage/components/escrow/retry_after.py
+++ b/trefoilstage/components/escrow/retry_after.py
@@ -1,4 +1,4 @@
-"""Decide when a caller whose hold was refused is told to retry; pure."""
+"""Decide when a caller whose hold was refused should retry; pure."""
 
 import random
 
@@ -8,7 +8,7 @@
 # No tokens are left to draw. Only a higher balance or tokens returned by another host
 # help, which takes longer than any caller waits, so that an earlier retry would fail.
 BUDGET_DRAWN_RETRY_AFTER_S = 30.0
-# Outages of the store last 7 to 9 s. When told to retry after 3 s, most callers retried
+# Outages of the store last 7 to 9 s. With a retry time of 3 s, most callers retried
 # before the end of the outage and were refused again; each caller retries only once.
 EXPECTED_OUTAGE_S = 8.5
 MIN_RETRY_AFTER_S = 1.0
--- a/trefoilstage/components/escrow/stock.py
+++ b/trefoilstage/components/escrow/stock.py
@@ -31,13 +31,13 @@
 SUPPLY_HORIZON_S = 9.0
 # A host that replaces the home only briefly draws little.
 FALLBACK_HORIZON_S = 0.5
-# Ready tokens are lost when all hosts end at once, because no host can tell whether
-# they were granted. A workspace that loses more than 3% of its budget is refused for
-# the rest of the day although it has a balance. The share of the remaining tokens that
-# is kept ready therefore shrinks with them: 12% of a full budget, and 1.3% of a budget
-# of which a third is left. In a simulation of a scarce budget with two outages and a
-# loss of all hosts, 17% of the requests were refused falsely, 36% with a constant
-# share of 12%, and 24% without locked tokens.
+# Ready tokens are lost when all hosts end together, because no host can determine
+# whether they were granted. A workspace that loses more than 3% of its budget is
+# refused for the rest of the day although it has a balance. The share of the remaining
+# tokens that is kept ready therefore shrinks with them: 12% of a full budget, and 1.3%
+# of a budget of which a third is left. In a simulation of a scarce budget with two
+# outages and a loss of all hosts, 17% of the requests were refused falsely, 36% with a
+# constant share of 12%, and 24% without locked tokens.
 READY_SHARES = {HomeRank.FIRST: 0.12, HomeRank.SECOND: 0.03, HomeRank.NONE: 0.01}
 # Locked tokens are recovered when the processes of all hosts end together, but not when
 # the machines lose power.
--- a/trefoilstage/components/escrow/wait_limits.py
+++ b/trefoilstage/components/escrow/wait_limits.py
@@ -2,14 +2,14 @@
 
 Expected load: no host reaches the store for 7 to 9 s, and stocks cover part of that.
 A refused caller retries once, within a third of its remaining time, and a caller that
-receives no reply gives up after 2 to 3 s. Only both together cover a whole outage: the
+receives no reply times out after 2 to 3 s. Only both together cover a whole outage: the
 request first waits and is then refused with a time to retry.
 """
 
 from dataclasses import dataclass
 
-# The longest wait, as a share of the time after which the caller gives up. The first
-# event takes 0.1 to 0.5 s more.
+# The longest wait, as a share of the caller's timeout. The first event takes 0.1 to
+# 0.5 s more.
 WAIT_SHARE = 0.7
 # Callers retry within this share of their remaining time.
 RETRY_SHARE = 1 / 3
--- a/trefoilstage/components/fleet/gossip.py
+++ b/trefoilstage/components/fleet/gossip.py
@@ -1,7 +1,8 @@
-"""Encode in one byte per host when each host of a fleet was heard; no I/O.
+"""Encode in one byte per host when each host of a fleet was last heard from; no I/O.
 
-A longer form would cost too much: in a fleet of hundreds of hosts each heartbeat passes
-on when every host was heard, in four calls and four replies per second at each host.
+A longer form would cost too much: in a fleet of hundreds of hosts each heartbeat
+carries the age of every host's last message, in four calls and four replies per second
+at each host.
 Sender and receiver know the same names, so heartbeats carry only a digest of them.
 """
 
@@ -13,16 +14,16 @@
 
 from trefoilstage.fleet_board import PeerState
 
-# Six bits of a byte give the time since a host was heard, in units of AGE_UNIT_S; the
-# other two are flags.
+# Six bits of a byte give the time since a host's last message, in units of AGE_UNIT_S;
+# the other two are flags.
 AGE_UNIT_S = 0.05
 AGE_UNKNOWN = 63
 AGE_MASK = 63
 SERVING_FLAG = 64
 STORE_IN_REACH_FLAG = 128
 MAX_AGE_S = (AGE_UNKNOWN - 1) * AGE_UNIT_S
-# The age in seconds for each value of the byte. An infinite age, for a host that was
-# not heard recently, never counts as newer than what the receiver knows.
+# The age in seconds for each value of the byte. An infinite age, for a host without a
+# recent message, never counts as newer than what the receiver knows.
 AGES_S = tuple(
     float("inf") if state & AGE_MASK == AGE_UNKNOWN else (state & AGE_MASK) * AGE_UNIT_S
     for state in range(256)
--- a/trefoilstage/components/fleet/known_hosts.py
+++ b/trefoilstage/components/fleet/known_hosts.py
@@ -1,4 +1,4 @@
-"""Track which incarnation each peer runs and when it was heard; no I/O.
+"""Track which incarnation each peer runs and when it was last heard from; no I/O.
 
 An incarnation is one run of a host's process. A host learns of a peer from the peer's
 record in the store, from its heartbeats and, in a large fleet, from those of others.
@@ -22,9 +22,9 @@
 
 # Three heartbeat intervals: retransmission of one lost datagram takes up to two.
 LOST_AFTER_S = 1.5
-# In a large fleet a host learns most through other peers. With two calls per heartbeat
-# round from each of 66 hosts, no host went unheard for more than 1.5 s in 20 s of
-# emulated rounds without faults.
+# In a large fleet most information about a peer arrives through other peers. With two
+# calls per heartbeat round from each of 66 hosts, it was never older than 1.5 s in 20 s
+# of emulated rounds without faults.
 LOST_AFTER_LARGE_FLEET_S = 3.0
 
 
@@ -54,7 +54,7 @@
         return self._board.list_live_hosts(now, self.lost_after_s)
 
     def has_heard_all_hosts(self) -> bool:
-        """Return whether every host that the store lists was heard."""
+        """Return whether every host that the store lists has been heard from."""
         return all(peer.was_heard for peer in self._board.peers.values())
 
     def remove_host(self, host: str) -> None:
--- a/trefoilstage/components/fleet/membership.py
+++ b/trefoilstage/components/fleet/membership.py
@@ -29,13 +29,13 @@
 CALL_TIMEOUT_S = 0.9
 ANNOUNCE_RETRY_INTERVAL_S = 0.5
 # In a large fleet each host calls only a few peers per heartbeat round. If it called
-# them in turn, it would hear each of 66 hosts only every 8 s, and the homes of accounts
-# would move all the time. So the heartbeats of a large fleet also carry when each other
-# host was heard.
+# them in turn, it would get a message from each of 66 hosts only every 8 s, and the
+# homes of accounts would move all the time. So the heartbeats of a large fleet also
+# carry the age of each other host's last message.
 N_PEERS_PER_ROUND = 2
-# A host that did not reply to a call gets only heartbeats until it is heard directly.
-# If those reached it by random choice only, the home of a workspace would stay out of
-# use for half a minute.
+# A host that did not reply to a call gets only heartbeats until it sends a message
+# itself. If those reached it by random choice only, the home of a workspace would stay
+# out of use for half a minute.
 N_FAILED_PER_ROUND = 4
 # When a large fleet starts, each host reads the records of hundreds of others within
 # seconds. A heartbeat round for each record would cost the square of the fleet's size.
@@ -125,7 +125,7 @@
         return len(self._board.peers) + 1
 
     def has_heard_all_hosts(self) -> bool:
-        """Return whether every host that the store lists was heard."""
+        """Return whether every host that the store lists has been heard from."""
         return self._known_hosts.has_heard_all_hosts()
 
     def send_heartbeats_now(self) -> None:
@@ -206,7 +206,7 @@
         if not self._board.is_large():
             return peers
         called = self._generator.sample(peers, N_PEERS_PER_ROUND)
-        # Other peers have heard these hosts recently; no peer hears an ended host.
+        # Other peers recently received messages of these hosts; ended hosts send none.
         now = self._timer.now()
         failed = [
             peer
--- a/trefoilstage/components/fleet/messages.py
+++ b/trefoilstage/components/fleet/messages.py
@@ -38,8 +38,9 @@
     link_full: bool = False
     # The offset of this incarnation's record in the store, -1 before it has one.
     announced_at: Offset = -1
-    # In a large fleet, when other hosts were heard: a byte for each host of the table
-    # with this digest, or a byte by name if the sender doesn't have the peer's table.
+    # In a large fleet, the age of other hosts' last messages: a byte for each host of
+    # the table with this digest, or a byte by name if the sender doesn't have the
+    # peer's table.
     table: Digest = b""
     states: HostStates = b""
     named_states: dict[ShortText, HostState] = field(default_factory=dict)
--- a/trefoilstage/components/forwarding/placement.py
+++ b/trefoilstage/components/forwarding/placement.py
@@ -18,8 +18,8 @@
 from trefoilstage.components.forwarding.work import Work
 from trefoilstage.util.hashing import rank_by_rendezvous, rank_by_rendezvous_cached
 
-# Each running request delays the tokens of the others: with 64 requests at once, an
-# engine step takes 1.5 times as long as with one.
+# Each running request delays the tokens of the others: with 64 concurrent requests,
+# an engine step takes 1.5 times as long as with one.
 DELAY_PER_REQUEST_S = 0.002
 # A first token that is estimated above this share of the objective counts as late. The
 # rest is a margin for what this host does not know: the newest requests of peer hosts,
--- a/trefoilstage/components/log_client/writer.py
+++ b/trefoilstage/components/log_client/writer.py
@@ -127,7 +127,7 @@
             self._on_verdict()
 
     def resend_lost(self, next_offset: int, last_sequence: int) -> None:
-        """Resend all pending records if the first one was passed without a verdict.
+        """Resend all pending records if the fold is past the first without a verdict.
 
         Raise SequenceForgottenError if the fold no longer knows this incarnation.
         """
--- a/trefoilstage/daemon.py
+++ b/trefoilstage/daemon.py
@@ -23,7 +23,7 @@
 @cappa.command(name="trefoilstaged")
 @dataclass(kw_only=True)
 class Daemon:
-    """Run one host of the fleet until it is told to stop."""
+    """Run one host of the fleet until it receives a signal to stop."""
 
     settings: Annotated[Path, cappa.Arg(long=True, help="the host's TOML settings")]
 
--- a/trefoilstage/fleet_host.py
+++ b/trefoilstage/fleet_host.py
@@ -34,8 +34,8 @@
 ACCEPT_STREAMS_WHILE_DRAINING_S = 3.0
 # Longest call to a plain HTTP service.
 MAX_PLAIN_CALL_S = 0.5
-# Callers, and a balancer that uses every host, notice the end of the last stream a
-# moment later. Without this time the port closed 12 to 25 ms after that end, and 5 of
+# Callers, and a balancer that uses every host, notice the end of the last stream
+# slightly later. Without this time the port closed 12 to 25 ms after that end, and 5 of
 # 66 shutdowns beside busy processes refused a connection. The platform's rules allow a
 # planned stop to cut requests within 200 ms; this is twice as long, as a busy host or
 # caller may be late itself.
@@ -135,8 +135,9 @@
     async def _become_ready(self) -> None:
         """Start serving once a configuration is known and the peers have responded.
 
-        The home of a workspace is the host that draws tokens for it. A host that has
-        heard from no peer would act as the home of every workspace and draw for each.
+        The home of a workspace is the host that draws tokens for it. A host without
+        a message from any peer would act as the home of every workspace and draw for
+        each.
         """
         loop = asyncio.get_running_loop()
         while self._board.configuration is None:
--- a/trefoilstage/platform/settings.py
+++ b/trefoilstage/platform/settings.py
@@ -9,7 +9,7 @@
 from trefoilstage.fleet_settings import FleetSettings
 
 MS_PER_S = 1000.0
-# Set by deploy/system.toml, which also tells the platform where to read metrics. The
+# Set by deploy/system.toml, which also configures where the platform reads metrics. The
 # platform assigns all other ports. If it is not set, the kernel assigns the metrics
 # port, and the host logs it.
 METRICS_PORT_VARIABLE = "TREFOILSTAGE_METRICS_PORT"
