--- a/tests/components/test_log_faults.py
+++ b/tests/components/test_log_faults.py
@@ -4,8 +4,8 @@
 import unittest
 
 from bench.emulator.clock import run_virtually
-from tests.components.log_fault_play import run_seed
 from tests.components.log_faults import POLL_S, SUSPECT_S, SYNC_TIMEOUT_S, Cluster
+from tests.components.random_log_faults import run_seed
 from tests.components.test_stream import wait_until
 from trefoilstage.components.operators.server import VERDICT_TIMEOUT_S
 from trefoilstage.components.peers.log_peers import PEER_TIMEOUT_S
@@ -163,7 +163,7 @@
         run_virtually(inject_faults())
 
     def test_stream_resumes_when_the_hosts_it_waits_for_are_declared_lost(self) -> None:
-        """Guard against dead or replaced hosts that block the stream permanently."""
+        """Guard against lost or replaced hosts that block the stream permanently."""
         for is_replaced in (True, False):
             with self.subTest(is_replaced=is_replaced):
                 run_virtually(self.lose_hosts(is_replaced=is_replaced))
