--- a/bench/emulator/host.py
+++ b/bench/emulator/host.py
@@ -101,7 +101,7 @@
             data_center="brest",
         )
         store_client = StoreClient(host=self.name, shared_store=self._shared_store)
-        peers = PeerServer(address=self.name, port=PORT, codec=FLEET_CODEC)
+        peer_server = PeerServer(address=self.name, port=PORT, codec=FLEET_CODEC)
         parts = make_fleet_parts(
             settings=settings,
             board=board,
@@ -113,7 +113,7 @@
                 decode_target=lambda name, data: self._stored_objects.entries[data],
             ),
             links=EmulatedLinks(network=self._network),
-            peers=peers,
+            peer_server=peer_server,
             sender=self._sender,
             probe=self._probe,
             process_start=ProcessStart(
@@ -123,7 +123,7 @@
             ),
         )
         self._board, self._store_client, self._parts = board, store_client, parts
-        self._network.servers[parts.membership.peer_url] = peers
+        self._network.servers[parts.membership.peer_url] = peer_server
         for service in parts.list_services():
             await service.start()
         self._starting = asyncio.create_task(self._become_ready(board, parts))
--- a/tests/components/escrow/test_lock.py
+++ b/tests/components/escrow/test_lock.py
@@ -185,8 +185,8 @@
         cluster = await self.start_hosts()
         cluster.store.down = True
         board = cluster.boards["brest-1"].store
-        board.note_failure(cluster.timer.time, "down")
-        board.note_failure(cluster.timer.time + 0.6, "down")
+        board.record_failure(cluster.timer.time, "down")
+        board.record_failure(cluster.timer.time + 0.6, "down")
         n_held = await self.request_holds(cluster, 60, "outage")
         self.assertGreater(n_held, 20)
         cluster.store.down = False
@@ -230,7 +230,7 @@
         held = await cluster.hold("brest-1", "lorient-1", WORKSPACE, "big", 20_000)
         self.assertTrue(held)
         cluster.store.down = False
-        cluster.boards["brest-1"].store.note_answer(cluster.timer.time)
+        cluster.boards["brest-1"].store.record_response(cluster.timer.time)
         await cluster.keepers["brest-1"].renew()
         self.assertTrue(lock.is_open(cluster.timer.time))
         await home._check_stocks()
--- a/tests/components/escrow/test_retry_after.py
+++ b/tests/components/escrow/test_retry_after.py
@@ -6,7 +6,7 @@
     estimate_store_return,
     make_refusal,
 )
-from trefoilstage.fleet_board import StoreReach
+from trefoilstage.fleet_board import StoreReachability
 from trefoilstage.helpers.verdict import Reason
 
 
@@ -21,12 +21,12 @@
 
     def test_one_failed_call_is_no_outage(self) -> None:
         """Let one call fail; the outage starts only when the store is out of reach."""
-        reach = StoreReach()
-        reach.note_answer(10.0)
-        reach.note_failure(10.2, "error")
-        self.assertEqual(reach.get_silence(10.3), 0.0)
-        reach.note_failure(10.9, "error")
-        self.assertAlmostEqual(reach.get_silence(11.0), 1.0)
+        reachability = StoreReachability()
+        reachability.record_response(10.0)
+        reachability.record_failure(10.2, "error")
+        self.assertEqual(reachability.get_outage_s(10.3), 0.0)
+        reachability.record_failure(10.9, "error")
+        self.assertAlmostEqual(reachability.get_outage_s(11.0), 1.0)
 
     def test_exhausted_budget_has_no_retry_time(self) -> None:
         """Refuse for an exhausted budget, where a retry would fail as well."""
--- a/tests/components/escrow/test_start.py
+++ b/tests/components/escrow/test_start.py
@@ -65,7 +65,7 @@
         self.assertEqual(board.list_live_hosts(5.0, SILENT_S), ("host-0", "host-1"))
         self.assertEqual(board.live_changed_at, 5.0)
         board.peers["host-2"].last_heard = 6.0
-        board.note_peer_changed()
+        board.invalidate_live_hosts()
         self.assertEqual(len(board.list_live_hosts(6.0, SILENT_S)), 3)
         self.assertEqual(board.live_changed_at, 6.0)
 
@@ -73,7 +73,7 @@
         board = make_board("host-0", ["host-1"])
         board.list_live_hosts(1.0, SILENT_S)
         board.peers["host-1"].last_heard = 4.0
-        board.note_peer_changed()
+        board.invalidate_live_hosts()
         board.list_live_hosts(4.0, SILENT_S)
         self.assertEqual(board.live_changed_at, 1.0)
 
--- a/tests/components/fleet/test_board_updater.py
+++ b/tests/components/fleet/test_board_updater.py
@@ -9,7 +9,7 @@
 from trefoilstage.components.views.keyed_view import KeyedRecord
 from trefoilstage.components.views.store import Topic
 from trefoilstage.fleet_board import FleetBoard
-from trefoilstage.fleet_parts import LARGE_PAUSE_S, make_followers
+from trefoilstage.fleet_parts import LARGE_FLEET_PAUSE_S, make_followers
 from trefoilstage.fleet_settings import FleetSettings
 
 SERVICE = "model"
@@ -101,7 +101,7 @@
         after one record add up to 38,000 calls, more than twice what the store serves
         in a second.
         """
-        self.assertEqual(self.get_pause(Topic.HOSTS, 195, 4.0), LARGE_PAUSE_S)
+        self.assertEqual(self.get_pause(Topic.HOSTS, 195, 4.0), LARGE_FLEET_PAUSE_S)
         self.assertEqual(self.get_pause(Topic.HOSTS, 7, 2.0), 0.0)
 
 
--- a/tests/components/forwarding/test_full_link.py
+++ b/tests/components/forwarding/test_full_link.py
@@ -75,7 +75,7 @@
                 for peer in host.board.peers.values():
                     peer.last_heard = now
                 n_misses = host.n_misses + 1
-                host.n_misses = n_misses if host.board.sends_elsewhere(now) else 0
+                host.n_misses = n_misses if host.board.is_only_own_link_full(now) else 0
         host = next((host for host in hosts if host.n_misses < 2), hosts[0])
         n_in_time += host.serve(now) - now <= OBJECTIVE_S
     return n_in_time
@@ -109,25 +109,25 @@
         """Let most calls wait for a home that draws from the store."""
         board = make_board("host-0", ["host-1", "host-2", "host-3", "host-4"])
         self.record_round_trips(board, 0.6, 0.6, 0.6, 0.003)
-        self.assertFalse(board.sends_elsewhere(10.0))
+        self.assertFalse(board.is_only_own_link_full(10.0))
 
     def test_callers_stay_if_the_peers_links_are_full_too(self) -> None:
         board = make_board("host-0", ["host-1", "host-2", "host-3", "host-4"])
         self.record_round_trips(board, 0.4)
-        self.assertTrue(board.sends_elsewhere(10.0))
+        self.assertTrue(board.is_only_own_link_full(10.0))
         board.peers["host-1"].link_full = True
-        self.assertTrue(board.sends_elsewhere(10.0))
+        self.assertTrue(board.is_only_own_link_full(10.0))
         board.peers["host-2"].link_full = True
-        self.assertFalse(board.sends_elsewhere(10.0))
+        self.assertFalse(board.is_only_own_link_full(10.0))
 
     def test_host_with_few_recent_calls_stays_ready(self) -> None:
         """Have only two slow calls, then only calls made long ago."""
         board = make_board("host-0", ["host-1", "host-2", "host-3", "host-4"])
         board.round_trips.record_reply(0.4, 10.0)
         board.round_trips.record_reply(0.4, 10.0)
-        self.assertFalse(board.sends_elsewhere(10.0))
+        self.assertFalse(board.is_only_own_link_full(10.0))
         self.record_round_trips(board, 0.4)
-        self.assertFalse(board.sends_elsewhere(13.0))
+        self.assertFalse(board.is_only_own_link_full(13.0))
 
     def test_link_on_which_all_calls_time_out_is_full(self) -> None:
         """Let all calls time out because the link is too full.
@@ -139,7 +139,7 @@
         self.record_heartbeats(board)
         for _ in range(N_CALLS):
             board.round_trips.record_timeout(0.9, 10.0)
-        self.assertTrue(board.sends_elsewhere(10.0))
+        self.assertTrue(board.is_only_own_link_full(10.0))
         self.assertEqual(board.round_trips.estimate_reply_s(10.0), 0.0)
 
     def test_last_live_host_keeps_its_callers(self) -> None:
@@ -147,7 +147,7 @@
         board = make_board("host-0", ["host-1", "host-2", "host-3", "host-4"])
         for _ in range(N_CALLS):
             board.round_trips.record_timeout(0.9, 10.0)
-        self.assertFalse(board.sends_elsewhere(10.0))
+        self.assertFalse(board.is_only_own_link_full(10.0))
 
     def test_short_timeouts_are_ignored(self) -> None:
         board = make_board("host-0", ["host-1", "host-2", "host-3", "host-4"])
--- a/trefoilstage/blackboard.py
+++ b/trefoilstage/blackboard.py
@@ -12,7 +12,7 @@
 from trefoilstage.components.targets.load import TargetLoad
 from trefoilstage.configuration.fold import ConfigState, HostEntry
 from trefoilstage.configuration.schema import Configuration
-from trefoilstage.const import MAX_FULL_MESH
+from trefoilstage.const import MAX_FULL_MESH_PEERS
 from trefoilstage.ledger.state import LedgerState
 from trefoilstage.phase import Phase
 
@@ -87,7 +87,7 @@
         """Return the configuration in force."""
         return self.config.configuration
 
-    def has_ledgers(self) -> bool:
+    def follows_all_ledgers(self) -> bool:
         """Return whether all ledger streams of the configuration are followed."""
         return len(self.ledgers) >= self.configuration.fleet.ledger_streams
 
@@ -99,7 +99,7 @@
             if name != self.host and self.is_peer_live(entry)
         ]
 
-    def list_presumed_hosts(self) -> list[str]:
+    def list_hosts_not_known_lost(self) -> list[str]:
         """Return the names of hosts not known to be lost, watched or not, sorted."""
         return [
             name
@@ -116,5 +116,5 @@
         status = self.peers.get(entry.host)
         if status is None:
             unwatched = entry.host not in self.watched
-            return unwatched and len(self.config.hosts) > MAX_FULL_MESH + 1
+            return unwatched and len(self.config.hosts) > MAX_FULL_MESH_PEERS + 1
         return status.reachable and status.incarnation == entry.incarnation
--- a/trefoilstage/components/callers/gate.py
+++ b/trefoilstage/components/callers/gate.py
@@ -43,7 +43,7 @@
     ) -> web.StreamResponse:
         # The configuration takes effect shortly before the host follows its
         # ledgers, and no account can be looked up without them.
-        if not self._blackboard.has_ledgers():
+        if not self._blackboard.follows_all_ledgers():
             return refuse_not_ready("the host is not following the ledgers yet")
         try:
             return await handler(request)
--- a/trefoilstage/components/crashes/recorder.py
+++ b/trefoilstage/components/crashes/recorder.py
@@ -122,13 +122,13 @@
         candidates = tuple(
             host
             for host in self._list_live_hosts()
-            if host in self._board.peers and self._board.reaches_store(host)
+            if host in self._board.peers and self._board.is_store_reachable_from(host)
         )
         ranked = rank_by_rendezvous_cached(self._board.host, candidates)
         return self._board.peers[ranked[0]] if ranked else None
 
     def _report_to_peers(self, report: CrashReport) -> None:
-        if self._board.is_large():
+        if self._board.is_too_large_to_broadcast():
             # Every host reads crashes from the store. If each of hundreds of hosts also
             # reported a target's crash, each would receive hundreds of messages.
             return
--- a/trefoilstage/components/escrow/client.py
+++ b/trefoilstage/components/escrow/client.py
@@ -144,12 +144,12 @@
         return wait_limits.plan_wait(
             now,
             lock_wait_s=refusal.lock_wait_s,
-            store_return_s=estimate_store_return(self._board.store.get_silence(now)),
+            store_return_s=estimate_store_return(self._board.store.get_outage_s(now)),
         )
 
     def _refuse(self, refusal: HoldRefused, wait_limits: WaitLimits) -> Refusal:
         now = self._timer.now()
-        retry_after_s = estimate_store_return(self._board.store.get_silence(now))
+        retry_after_s = estimate_store_return(self._board.store.get_outage_s(now))
         retry_after_s = add_retry_jitter(
             retry_after_s, wait_limits, now, self._generator
         )
@@ -271,7 +271,7 @@
         """
         if not self._board.is_link_full(self._timer.now()):
             peer.failed = True
-            self._board.note_peer_changed()
+            self._board.invalidate_live_hosts()
 
     async def _flush(self) -> None:
         for (home, incarnation), holds in list(self._unsettled.items()):
--- a/trefoilstage/components/escrow/home.py
+++ b/trefoilstage/components/escrow/home.py
@@ -266,13 +266,14 @@
     def _is_fleet_changing(self, now: float) -> bool:
         """Return whether the live hosts of a large fleet changed recently."""
         has_changed_recently = now - self._board.live_changed_at < STABLE_FLEET_S
-        return has_changed_recently and self._board.is_large()
+        return has_changed_recently and self._board.is_too_large_to_broadcast()
 
     def _may_update_roster(self, workspace: str, now: float) -> bool:
         """Return whether a roster may be written without a waiting request."""
         written_at = self._roster_written_at.get(workspace, float("-inf"))
         return (
-            not self._board.is_large() or now - written_at >= ROSTER_UPDATE_INTERVAL_S
+            not self._board.is_too_large_to_broadcast()
+            or now - written_at >= ROSTER_UPDATE_INTERVAL_S
         )
 
     def _start_recovery(self, workspace: str, now: float) -> None:
@@ -340,7 +341,7 @@
         self._account_store.forget_end_offset(workspace)
         now = self._timer.now()
         self._paused_until[workspace] = now + FAILED_DRAW_PAUSE_S
-        self._board.store.note_failure(now, str(error))
+        self._board.store.record_failure(now, str(error))
         log_event(Event.ESCROW_DRAW_FAILED, workspace=workspace, error=str(error))
 
     def _must_update_roster(self, account: EscrowAccount) -> bool:
--- a/trefoilstage/components/escrow/lock_keeper.py
+++ b/trefoilstage/components/escrow/lock_keeper.py
@@ -141,4 +141,4 @@
         except StoreUnavailableError as error:
             now = self._timer.now()
             self._failed_at = now
-            self._board.store.note_failure(now, str(error))
+            self._board.store.record_failure(now, str(error))
--- a/trefoilstage/components/escrow/ranking.py
+++ b/trefoilstage/components/escrow/ranking.py
@@ -48,6 +48,6 @@
         others = [host for host in ranked if host != self._board.host]
         if not others:
             return [self._board.host]
-        connected = filter(self._board.reaches_store, others[1:])
+        connected = filter(self._board.is_store_reachable_from, others[1:])
         fallbacks = list(itertools.islice(connected, N_FALLBACK_HOMES))
         return others[:1] + (fallbacks or others[1 : 1 + N_FALLBACK_HOMES])
--- a/trefoilstage/components/fleet/known_hosts.py
+++ b/trefoilstage/components/fleet/known_hosts.py
@@ -47,7 +47,11 @@
     @property
     def lost_after_s(self) -> float:
         """Return after how many seconds without a heartbeat a host counts as lost."""
-        return LOST_AFTER_LARGE_FLEET_S if self._board.is_large() else LOST_AFTER_S
+        return (
+            LOST_AFTER_LARGE_FLEET_S
+            if self._board.is_too_large_to_broadcast()
+            else LOST_AFTER_S
+        )
 
     def list_live(self, now: float) -> tuple[str, ...]:
         """Return the names of the live hosts that serve, this one included."""
@@ -91,7 +95,7 @@
 
         A reply uses the table of the request, or names if this host doesn't have it.
         """
-        if not self._board.is_large():
+        if not self._board.is_too_large_to_broadcast():
             return heartbeat
         peers = self._board.peers
         table: HostTable | None = self._get_tables().current
@@ -152,7 +156,7 @@
         peer.link_full = heartbeat.link_full
         peer.untouched = heartbeat.untouched
         if peer.is_live(now, self.lost_after_s) != was_live:
-            self._board.note_peer_changed()
+            self._board.invalidate_live_hosts()
 
     def _merge_peer_states(self, heartbeat: HostHeartbeat, now: float) -> None:
         """Apply the states in a peer's heartbeat that are newer than the known ones.
@@ -160,7 +164,7 @@
         Hosts that are not known here are skipped; their records follow from the store.
         """
         if merge_states(self._list_peer_states(heartbeat), now, self.lost_after_s):
-            self._board.note_peer_changed()
+            self._board.invalidate_live_hosts()
 
     def _list_peer_states(
         self, heartbeat: HostHeartbeat
@@ -180,7 +184,7 @@
         return zip(map(find, table.names), heartbeat.states, strict=True)
 
     def _mark_hosts_changed(self) -> None:
-        self._board.note_peer_changed()
+        self._board.invalidate_live_hosts()
         self._tables_are_stale = True
 
     def _get_tables(self) -> HostTableHistory:
--- a/trefoilstage/components/fleet/membership.py
+++ b/trefoilstage/components/fleet/membership.py
@@ -105,7 +105,7 @@
                 log_event(Event.RECORD_MALFORMED, topic=Topic.HOSTS, key=record.key)
                 continue
             self._known_hosts.apply_record(record.key, host_record, record.offset)
-        if not self._board.is_large():
+        if not self._board.is_too_large_to_broadcast():
             self.send_heartbeats_now()
         elif not self._heartbeats_are_scheduled:
             self._heartbeats_are_scheduled = True
@@ -160,7 +160,11 @@
         drawn would be missing from the budget for as long.
         """
         peer = self._board.peers.get(host)
-        if peer is None or host in self._confirming or not self._board.is_large():
+        if (
+            peer is None
+            or host in self._confirming
+            or not self._board.is_too_large_to_broadcast()
+        ):
             return
         self._confirming.add(host)
         self.add_future(self._confirm_peer(peer))
@@ -203,7 +207,7 @@
     def pick_peers_to_call(self) -> list[PeerState]:
         """Return the peers to call in this round: all, or a few of a large fleet."""
         peers = list(self._board.peers.values())
-        if not self._board.is_large():
+        if not self._board.is_too_large_to_broadcast():
             return peers
         called = self._generator.sample(peers, N_PEERS_PER_ROUND)
         # Other peers have heard these hosts recently; no peer hears an ended host.
--- a/trefoilstage/components/fleet/metrics.py
+++ b/trefoilstage/components/fleet/metrics.py
@@ -104,7 +104,7 @@
         add(
             "store_silent_seconds",
             "Seconds since the store answered, 0 while it is in reach.",
-            lambda: board.store.get_silence(self._timer.now()),
+            lambda: board.store.get_outage_s(self._timer.now()),
         )
         add(
             "configuration_version",
--- a/trefoilstage/components/forwarding/relay.py
+++ b/trefoilstage/components/forwarding/relay.py
@@ -92,4 +92,4 @@
         """Return whether callers should open their next connection to another host."""
         if self._board.phase is Phase.DRAINING:
             return True
-        return self._board.sends_elsewhere(asyncio.get_running_loop().time())
+        return self._board.is_only_own_link_full(asyncio.get_running_loop().time())
--- a/trefoilstage/components/forwarding/server.py
+++ b/trefoilstage/components/forwarding/server.py
@@ -75,7 +75,7 @@
         self._refuses_streams = False
         self._refuses_all = False
         self._request_tasks: set[asyncio.Task[Any]] = set()
-        self._was_sending_elsewhere = False
+        self._was_only_own_link_full = False
         self._n_failed_checks = 0  # consecutive, of readiness
         self.n_streams = 0
 
@@ -169,7 +169,7 @@
         """
         if (
             self._n_failed_checks < N_FAILED_CHECKS_UNTIL_REMOVAL
-            or not self._board.sends_elsewhere(now)
+            or not self._board.is_only_own_link_full(now)
         ):
             return False
         wait_s = N_LINK_WAITS * self._board.round_trips.estimate_call_s(now)
@@ -178,16 +178,16 @@
     def _can_peers_serve_faster(self) -> bool:
         """Return whether peers can serve callers faster, and log when that changes."""
         now = asyncio.get_running_loop().time()
-        sends_elsewhere = self._board.sends_elsewhere(now)
-        if sends_elsewhere != self._was_sending_elsewhere:
-            self._was_sending_elsewhere = sends_elsewhere
+        is_only_own_link_full = self._board.is_only_own_link_full(now)
+        if is_only_own_link_full != self._was_only_own_link_full:
+            self._was_only_own_link_full = is_only_own_link_full
             log_event(
-                Event.LINK_FULL if sends_elsewhere else Event.LINK_HAS_ROOM,
+                Event.LINK_FULL if is_only_own_link_full else Event.LINK_HAS_ROOM,
                 host=self._board.host,
                 call_s=self._board.round_trips.estimate_call_s(now),
                 active=self.n_active,
             )
-        return sends_elsewhere
+        return is_only_own_link_full
 
     async def _handle_request(self, web_request: web.BaseRequest) -> web.StreamResponse:
         started_at = asyncio.get_running_loop().time()
--- a/trefoilstage/components/forwarding/targets.py
+++ b/trefoilstage/components/forwarding/targets.py
@@ -79,7 +79,7 @@
             options = [self._make_option(target) for target in usable]
             return choose_by_load(options, self._board.data_center, request_id)
         candidates = rank_candidates(usable, need.subject)
-        if self._workload.is_large():
+        if self._workload.is_fleet_large():
             candidates = candidates[: candidate_info.n_candidates]
         options = self._list_options(candidates, prompt, candidate_info.cached_tokens)
         return choose_by_prompt(options, need)
@@ -138,7 +138,7 @@
         without a prompt need no query: they take 45 ms on average, and few of them
         overlap at a target.
         """
-        if need is None or not self._workload.is_large():
+        if need is None or not self._workload.is_fleet_large():
             return CandidateInfo()
         ranked = rank_candidates(self._list_usable(service, set()), need.subject)
         cached_tokens: dict[str, int] = {}
@@ -160,7 +160,7 @@
         now = self._timer.now()
         # All requests that waited for the end of one outage would otherwise choose the
         # same targets.
-        if not self._workload.is_large() or now - queried_at <= MAX_TOTALS_AGE_S:
+        if not self._workload.is_fleet_large() or now - queried_at <= MAX_TOTALS_AGE_S:
             return False
         # On a full link, the reply would cost more time than it can save.
         return self._board.round_trips.estimate_call_s(now) <= MAX_TOTAL_QUERY_S
--- a/trefoilstage/components/forwarding/workload.py
+++ b/trefoilstage/components/forwarding/workload.py
@@ -155,7 +155,7 @@
 
         Return how many tokens of a prompt each target has cached, by incarnation.
         """
-        if not self.is_large():
+        if not self.is_fleet_large():
             return {}
         calls = [
             self._query_home(home, group, prompt)
@@ -218,9 +218,9 @@
             [own, *self._peer_work.list_work(target, now, except_host=except_host)]
         )
 
-    def is_large(self) -> bool:
+    def is_fleet_large(self) -> bool:
         """Return whether the fleet is large, so that each target has a home."""
-        return self._board.is_large()
+        return self._board.is_too_large_to_broadcast()
 
     def _group_by_home(self, targets: Iterable[str]) -> dict[str, list[str]]:
         live = self._board.list_live_hosts(self._timer.now(), MAX_HOME_SILENCE_S)
@@ -269,7 +269,7 @@
         }
 
     def _record_reported(self, changed: set[str], now: float) -> None:
-        reported = changed if self.is_large() else self._reported.keys()
+        reported = changed if self.is_fleet_large() else self._reported.keys()
         self._reported_at.update(dict.fromkeys(reported, now))
         self._reported_at = {
             target: reported_at
@@ -287,20 +287,20 @@
     def _select_totals(
         self, totals: dict[str, PrefillTotals], work: Mapping[str, Work]
     ) -> dict[str, PrefillTotals]:
-        if not self.is_large():
+        if not self.is_fleet_large():
             return totals
         return {target: item for target, item in totals.items() if target in work}
 
     def _select_prompts(
         self, prompts: list[CachedPrompt], work: Mapping[str, Work]
     ) -> tuple[CachedPrompt, ...]:
-        if not self.is_large():
+        if not self.is_fleet_large():
             return tuple(prompts)
         return tuple(prompt for prompt in prompts if prompt.target in work)
 
     def _select_recipients(self, changed: set[str]) -> dict[str, dict[str, Work]]:
         """Return the work to report to each host: all, or at the targets of a home."""
-        if not self.is_large():
+        if not self.is_fleet_large():
             return dict.fromkeys(self._board.peers, self._reported)
         homes = self._group_by_home(self._reported.keys() | changed)
         return {
--- a/trefoilstage/components/log_client/streams.py
+++ b/trefoilstage/components/log_client/streams.py
@@ -68,7 +68,7 @@
 
     def get_own_rank(self, key: str) -> int:
         """Return this host's rank among the live hosts for the task named by a key."""
-        ranked = rank_by_rendezvous(key, self._blackboard.list_presumed_hosts())
+        ranked = rank_by_rendezvous(key, self._blackboard.list_hosts_not_known_lost())
         return ranked.index(self._blackboard.host)
 
     async def on_start(self) -> None:
@@ -129,7 +129,10 @@
         """Return whether every stream has been read to its end."""
         # The ledger streams start shortly after the configuration is read. A host
         # that served requests before then would know no account and reject them all.
-        if self._blackboard.config.revision >= 0 and not self._blackboard.has_ledgers():
+        if (
+            self._blackboard.config.revision >= 0
+            and not self._blackboard.follows_all_ledgers()
+        ):
             return False
         streams = [self.config, *self.ledgers.values()]
         return all(stream.status.caught_up for stream in streams)
--- a/trefoilstage/components/membership/controller.py
+++ b/trefoilstage/components/membership/controller.py
@@ -16,7 +16,7 @@
 from trefoilstage.components.peers.server import PeerServer
 from trefoilstage.configuration.fold import HostEntry
 from trefoilstage.configuration.records import HostDown, HostUp
-from trefoilstage.const import MAX_FULL_MESH
+from trefoilstage.const import MAX_FULL_MESH_PEERS
 from trefoilstage.exceptions import PeerUnavailableError
 from trefoilstage.helpers.events import Event, log_event
 from trefoilstage.ledger.state import DrawStatus
@@ -86,7 +86,7 @@
 
     async def _send_heartbeats(self) -> None:
         hosts = self._blackboard.config.hosts
-        is_large = len(hosts) > MAX_FULL_MESH + 1
+        is_large = len(hosts) > MAX_FULL_MESH_PEERS + 1
         partners = list_draw_partners(self._blackboard) if is_large else set()
         watched = pick_watched(self._blackboard.host, hosts, partners)
         self._blackboard.watched = frozenset(watched)
@@ -139,7 +139,7 @@
     def _should_report(self, entry: HostEntry) -> bool:
         # In a large fleet the first-ranked host seldom watches the lost one. Each
         # of the few hosts that do may report it, since a second report is harmless.
-        if len(self._blackboard.config.hosts) > MAX_FULL_MESH + 1:
+        if len(self._blackboard.config.hosts) > MAX_FULL_MESH_PEERS + 1:
             return True
         return self._streams.get_own_rank(entry.incarnation) == 0
 
--- a/trefoilstage/components/membership/peer_selection.py
+++ b/trefoilstage/components/membership/peer_selection.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from trefoilstage.const import MAX_FULL_MESH
+from trefoilstage.const import MAX_FULL_MESH_PEERS
 from trefoilstage.util.hashing import rank_by_rendezvous
 
 N_WATCHED_BY_RANK = 8
@@ -16,7 +16,7 @@
     its draws, whose decisions are the only ones that depend on its status.
     """
     others = {name for name in names if name != host}
-    if len(others) <= MAX_FULL_MESH:
+    if len(others) <= MAX_FULL_MESH_PEERS:
         return others
     ranked = rank_by_rendezvous(host, sorted(others))
     return set(ranked[:N_WATCHED_BY_RANK]) | (set(partners) & others)
--- a/trefoilstage/components/views/follower.py
+++ b/trefoilstage/components/views/follower.py
@@ -61,7 +61,7 @@
             except OffsetExpiredError:
                 self._has_listing = False
             except StoreUnavailableError as error:
-                self._board.store.note_failure(self._now(), str(error))
+                self._board.store.record_failure(self._now(), str(error))
                 await asyncio.sleep(RETRY_INTERVAL_S)
             else:
                 await asyncio.sleep(self._get_pause())
@@ -69,7 +69,7 @@
     async def _read_changes(self) -> None:
         if not self._has_listing:
             batch = await self._store.list_newest(self._topic)
-            self._board.store.note_answer(self._now())
+            self._board.store.record_response(self._now())
             changed = self.view.merge_listing(batch.records, batch.end_offset)
             self._has_listing = True
             log_event(
@@ -81,7 +81,7 @@
             )
             # The board must show that the store is reachable before the callback runs:
             # a target whose entry expired during the outage may register again.
-            self._board.store.note_answer(self._now())
+            self._board.store.record_response(self._now())
             changed = self.view.merge(batch.records)
         self._notify(changed)
 
--- a/trefoilstage/const.py
+++ b/trefoilstage/const.py
@@ -13,7 +13,7 @@
 # Offset in the reply to an append if the log returned none.
 NO_OFFSET: Final = -1
 
-MAX_FULL_MESH: Final = 8
+MAX_FULL_MESH_PEERS: Final = 8
 
 MAX_RECORD_BYTES: Final = 1_000_000
 MAX_PEER_MESSAGE_BYTES: Final = 4_000_000
--- a/trefoilstage/daemon.py
+++ b/trefoilstage/daemon.py
@@ -34,7 +34,7 @@
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, host.drain_requested.set)
-    loop.add_signal_handler(signal.SIGUSR1, host.write_dump)
+    loop.add_signal_handler(signal.SIGUSR1, host.write_state_dump)
     try:
         await host.start()
         enable_garbage_collector()
--- a/trefoilstage/fleet_board.py
+++ b/trefoilstage/fleet_board.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class StoreReach:
+class StoreReachability:
     """Record whether the store responds to this host; written by its callers."""
 
     last_answer: float = float("-inf")
@@ -37,11 +37,11 @@
     back_at: float = float("-inf")
     out_of_reach: bool = False
 
-    def get_silence(self, now: float) -> float:
-        """Return the seconds since the last answer, 0 while the store is reachable."""
+    def get_outage_s(self, now: float) -> float:
+        """Return how long the store has been unreachable, in seconds, or 0."""
         return now - self.last_answer if self.out_of_reach else 0.0
 
-    def note_answer(self, now: float) -> None:
+    def record_response(self, now: float) -> None:
         """Record that the store answered a call."""
         if self.out_of_reach:
             self.out_of_reach = False
@@ -50,7 +50,7 @@
         self.last_answer = now
         self.failing_since = None
 
-    def note_failure(self, now: float, error: str) -> None:
+    def record_failure(self, now: float, error: str) -> None:
         """Record that a call failed or got an invalid answer."""
         if self.failing_since is None:
             self.failing_since = now
@@ -109,7 +109,7 @@
     incarnation: str
     data_center: str
     phase: Phase = Phase.STARTING  # host
-    store: StoreReach = field(default_factory=StoreReach)
+    store: StoreReachability = field(default_factory=StoreReachability)
     configuration: FleetConfiguration | None = None  # configuration follower
     routes: RouteTable = field(default_factory=lambda: RouteTable(routes=()))
     targets: TargetDirectory = field(default_factory=TargetDirectory)  # target follower
@@ -121,7 +121,7 @@
     _live: dict[float, LiveHosts] = field(default_factory=dict)  # by silent_s
     _n_peer_changes: int = 0
 
-    def is_large(self) -> bool:
+    def is_too_large_to_broadcast(self) -> bool:
         """Return whether there are too many hosts for each to send to all others."""
         return len(self.peers) > MAX_BROADCAST_PEERS
 
@@ -165,7 +165,7 @@
         """Return whether messages are delayed on this host's own network link."""
         return self.round_trips.estimate_call_s(now) > LINK_FULL_DELAY_S
 
-    def sends_elsewhere(self, now: float) -> bool:
+    def is_only_own_link_full(self, now: float) -> bool:
         """Return whether this link is full while those of most peers are not.
 
         Callers are then served better by other hosts.
@@ -180,11 +180,11 @@
             self.peers
         ) and n_full <= MAX_FULL_PEER_SHARE * len(self.peers)
 
-    def note_peer_changed(self) -> None:
+    def invalidate_live_hosts(self) -> None:
         """Invalidate the cached list of live hosts."""
         self._n_peer_changes += 1
 
-    def reaches_store(self, host: str) -> bool:
+    def is_store_reachable_from(self, host: str) -> bool:
         """Return whether this host or a known peer reaches the store."""
         if host == self.host:
             return not self.store.out_of_reach
--- a/trefoilstage/fleet_host.py
+++ b/trefoilstage/fleet_host.py
@@ -28,7 +28,7 @@
 
 POLL_INTERVAL_S = 0.02
 # Running peers respond within milliseconds; the store may list some that are gone.
-MEET_S = 0.6
+MEET_PEERS_TIMEOUT_S = 0.6
 # Nine of ten streams take at most 4 s; one accepted later would be cut off.
 ACCEPT_STREAMS_WHILE_DRAINING_S = 3.0
 # Longest call to a plain HTTP service.
@@ -78,7 +78,7 @@
             codec=FLEET_CODEC,
             round_trips=self._board.round_trips,
         )
-        peers = PeerServer(
+        peer_server = PeerServer(
             address=settings.address, port=settings.peer_port, codec=FLEET_CODEC
         )
         parts = make_fleet_parts(
@@ -87,7 +87,7 @@
             store=self._store,
             board_updater=self._board_updater,
             links=links,
-            peers=peers,
+            peer_server=peer_server,
             sender=TargetSender(session=self._session, translator=self._translator),
             probe=ConnectProbe(outbound_address=settings.address),
             process_start=self._process_start,
@@ -117,7 +117,7 @@
         self._registry.register("crashes", parts.crash_watcher.evidence.get_seen_times)
         self._registry.register("settings", lambda: settings)
         self._registry.register("accounts", self._home.list_accounts)
-        services: list[Service] = [parts.timer, metrics, links, peers]
+        services: list[Service] = [parts.timer, metrics, links, peer_server]
         services += [*parts.list_services(), self._server]
         for service in services:
             await self.add_runtime_dependency(service)
@@ -140,7 +140,7 @@
         loop = asyncio.get_running_loop()
         while self._board.configuration is None:
             await asyncio.sleep(POLL_INTERVAL_S)
-        meet_peers_until = loop.time() + MEET_S
+        meet_peers_until = loop.time() + MEET_PEERS_TIMEOUT_S
         while (
             not self._membership.has_heard_all_hosts()
             and loop.time() < meet_peers_until
@@ -227,7 +227,7 @@
         await self._session.close()
         log_event(Event.HOST_STOPPED, host=self._board.host)
 
-    def write_dump(self) -> None:
+    def write_state_dump(self) -> None:
         """Write the state dump to standard error as one JSON line."""
         sys.stderr.write(json.dumps(self._registry.dump()) + "\n")
 
--- a/trefoilstage/fleet_parts.py
+++ b/trefoilstage/fleet_parts.py
@@ -48,7 +48,7 @@
 # In a large fleet each host's record ends the long-poll reads of all others, for
 # instance when all hosts start. Without a pause, the number of reads would grow with
 # the square of the number of hosts.
-LARGE_PAUSE_S = 0.25
+LARGE_FLEET_PAUSE_S = 0.25
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -87,7 +87,7 @@
     store: Store,
     board_updater: BoardUpdater,
     links: PeerLinks,
-    peers: PeerServer,
+    peer_server: PeerServer,
     sender: TargetSender,
     probe: TargetProbe,
     process_start: ProcessStart,
@@ -112,7 +112,7 @@
         board=board,
         store=store,
         links=links,
-        server=peers,
+        server=peer_server,
         timer=timer,
         followers=followers,
         address=settings.address,
@@ -132,7 +132,7 @@
     home = EscrowHome(
         board=board,
         store=store,
-        server=peers,
+        server=peer_server,
         timer=timer,
         n_partitions=settings.store_partitions,
         get_own_rank=ranking.get_own_rank,
@@ -158,7 +158,9 @@
         ranking=ranking,
         generator=generator,
     )
-    workload = WorkloadController(board=board, links=links, server=peers, timer=timer)
+    workload = WorkloadController(
+        board=board, links=links, server=peer_server, timer=timer
+    )
     chooser = TargetChooser(
         board=board,
         membership=membership,
@@ -176,7 +178,7 @@
         host=board.host,
         probe=probe,
         recorder=crash_recorder,
-        server=peers,
+        server=peer_server,
         timer=timer,
         list_live_hosts=membership.list_live,
     )
@@ -227,9 +229,13 @@
         ),
         Topic.TARGETS: make_follower(Topic.TARGETS, 0.0, lambda: targets_pause_s),
         Topic.HOSTS: make_follower(
-            Topic.HOSTS, HOSTS_WAIT_S, lambda: LARGE_PAUSE_S * board.is_large()
+            Topic.HOSTS,
+            HOSTS_WAIT_S,
+            lambda: LARGE_FLEET_PAUSE_S * board.is_too_large_to_broadcast(),
         ),
         Topic.CRASHES: make_follower(
-            Topic.CRASHES, CRASHES_WAIT_S, lambda: LARGE_PAUSE_S * board.is_large()
+            Topic.CRASHES,
+            CRASHES_WAIT_S,
+            lambda: LARGE_FLEET_PAUSE_S * board.is_too_large_to_broadcast(),
         ),
     }
--- a/trefoilstage/host.py
+++ b/trefoilstage/host.py
@@ -165,6 +165,6 @@
         await self._parts.at_most_once_session.close()
         log_event(Event.HOST_STOPPED, host=self._settings.host)
 
-    def write_dump(self) -> None:
+    def write_state_dump(self) -> None:
         """Write the state dump to standard error as one JSON line."""
         sys.stderr.write(json.dumps(self._registry.dump()) + "\n")
