--- a/tests/components/forwarding/test_events.py
+++ b/tests/components/forwarding/test_event_splitter.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from trefoilstage.components.forwarding.events import EventSplitter
+from trefoilstage.components.forwarding.event_splitter import EventSplitter
 
 STREAM = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\nid: 4\ndata: d"
 
--- a/tests/components/forwarding/test_pipeline.py
+++ b/tests/components/forwarding/test_pipeline.py
@@ -20,7 +20,7 @@
 from trefoilstage.components.forwarding.placement import CandidateInfo
 from trefoilstage.components.forwarding.request_state import RequestState
 from trefoilstage.components.forwarding.sender import InvalidAnswer, OpenAnswer
-from trefoilstage.components.forwarding.targets import SentPrompt
+from trefoilstage.components.forwarding.target_chooser import SentPrompt
 from trefoilstage.components.forwarding.translator import AnswerHead
 from trefoilstage.helpers.verdict import Effect, Reason, Refusal
 
--- a/tests/components/forwarding/test_targets.py
+++ b/tests/components/forwarding/test_target_chooser.py
@@ -17,7 +17,7 @@
 )
 from trefoilstage.components.forwarding.placement import CandidateInfo, PromptNeed
 from trefoilstage.components.forwarding.sender import NotRun
-from trefoilstage.components.forwarding.targets import TargetChooser
+from trefoilstage.components.forwarding.target_chooser import TargetChooser
 from trefoilstage.components.forwarding.work import Work
 from trefoilstage.components.forwarding.workload import WorkloadController
 from trefoilstage.components.peers.server import PeerServer
--- a/tests/components/forwarding/test_workload.py
+++ b/tests/components/forwarding/test_workload.py
@@ -20,7 +20,7 @@
     MAX_CANDIDATES,
     PromptNeed,
 )
-from trefoilstage.components.forwarding.targets import TargetChooser
+from trefoilstage.components.forwarding.target_chooser import TargetChooser
 from trefoilstage.components.forwarding.work import Work
 from trefoilstage.components.forwarding.workload import WorkloadController
 from trefoilstage.components.peers.frames import Frame
--- a/trefoilstage/components/forwarding/pipeline.py
+++ b/trefoilstage/components/forwarding/pipeline.py
@@ -30,7 +30,7 @@
     OpenAnswer,
     TargetSender,
 )
-from trefoilstage.components.forwarding.targets import TargetChooser
+from trefoilstage.components.forwarding.target_chooser import TargetChooser
 from trefoilstage.components.forwarding.translator import ForwardOptions
 from trefoilstage.exceptions import MalformedMessageError
 from trefoilstage.fleet_board import FleetBoard
--- a/trefoilstage/components/forwarding/relay.py
+++ b/trefoilstage/components/forwarding/relay.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from trefoilstage.components.forwarding.events import EventSplitter, StreamEvent
+from trefoilstage.components.forwarding.event_splitter import EventSplitter, StreamEvent
 from trefoilstage.components.forwarding.models import RouteKind
 from trefoilstage.components.forwarding.reply import CallerReply
 from trefoilstage.components.forwarding.request_state import RequestState
--- a/trefoilstage/components/forwarding/server.py
+++ b/trefoilstage/components/forwarding/server.py
@@ -6,10 +6,10 @@
 from aiohttp import web
 from mode import Service
 
-from trefoilstage.components.forwarding.answers import RefusalMaker
 from trefoilstage.components.forwarding.models import CallerRequest, RouteKind
 from trefoilstage.components.forwarding.pipeline import ForwardingPipeline
 from trefoilstage.components.forwarding.placement import IN_TIME_OBJECTIVE_SHARE
+from trefoilstage.components.forwarding.refusal_responses import RefusalMaker
 from trefoilstage.components.forwarding.reply import WebReply
 from trefoilstage.components.forwarding.request_state import RequestState
 from trefoilstage.components.forwarding.translator import (
--- a/trefoilstage/fleet_parts.py
+++ b/trefoilstage/fleet_parts.py
@@ -22,7 +22,7 @@
 from trefoilstage.components.fleet.membership import FleetMembership
 from trefoilstage.components.forwarding.pipeline import ForwardingPipeline
 from trefoilstage.components.forwarding.sender import TargetSender
-from trefoilstage.components.forwarding.targets import TargetChooser
+from trefoilstage.components.forwarding.target_chooser import TargetChooser
 from trefoilstage.components.forwarding.workload import WorkloadController
 from trefoilstage.components.peers.links import PeerLinks
 from trefoilstage.components.peers.server import PeerServer
