--- a/trefoilstage/assembly.py
+++ b/trefoilstage/assembly.py
@@ -9,7 +9,7 @@
 
 from trefoilstage.blackboard import Blackboard
 from trefoilstage.components.booking.client import ServiceClient
-from trefoilstage.components.booking.controller import BookingController
+from trefoilstage.components.booking.controller import ServiceCallController
 from trefoilstage.components.budget.setup import BudgetParts, make_budget_parts
 from trefoilstage.components.callers.generation import GenerationRunner
 from trefoilstage.components.callers.server import CallerServer
@@ -142,7 +142,7 @@
         timer=timer,
         retention_s=settings.answer_retention_s,
     )
-    bookings = BookingController(
+    bookings = ServiceCallController(
         blackboard=blackboard,
         streams=log_parts.streams,
         budget=budget.budget,
--- a/trefoilstage/components/booking/controller.py
+++ b/trefoilstage/components/booking/controller.py
@@ -66,7 +66,7 @@
         return [f"{url}{self.operation.path}" for url in ranked[:MAX_URLS_TRIED]]
 
 
-class BookingController:
+class ServiceCallController:
     """Send service calls; record an intent first if they are not idempotent."""
 
     def __init__(
--- a/trefoilstage/components/callers/server.py
+++ b/trefoilstage/components/callers/server.py
@@ -7,7 +7,7 @@
 from mode import Service
 
 from trefoilstage.blackboard import Blackboard
-from trefoilstage.components.booking.controller import BookingController
+from trefoilstage.components.booking.controller import ServiceCallController
 from trefoilstage.components.booking.models import ServiceCall
 from trefoilstage.components.callers.authentication import CallerIdentifier
 from trefoilstage.components.callers.chat import ChatHandler
@@ -32,7 +32,7 @@
         *,
         blackboard: Blackboard,
         keys: KeyController,
-        bookings: BookingController,
+        bookings: ServiceCallController,
         address: str,
         port: int,
     ) -> None:
