--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -7,7 +7,7 @@
 from typing import Any, Self
 
 from bench.scenario import FaultKind, FaultTable, Scenario, Setting, WorkspaceTable
-from standins.launcher import Launcher, LaunchError, Running, wait_for
+from standins.launcher import Launcher, LaunchError, RunningProcess, poll_until
 from standins.proxy import FaultProxy
 
 READY_TIMEOUT_S = 60.0
@@ -90,9 +90,9 @@
     settings: dict[str, Setting]
     launcher: Launcher = field(default_factory=Launcher)
     proxies: dict[str, FaultProxy] = field(default_factory=dict)
-    engines: list[Running] = field(default_factory=list)
-    hosts: dict[str, Running] = field(default_factory=dict)
-    log: Running = field(init=False)
+    engines: list[RunningProcess] = field(default_factory=list)
+    hosts: dict[str, RunningProcess] = field(default_factory=dict)
+    log: RunningProcess = field(init=False)
     n_hosts_started: int = 0
     prepaid_tokens: dict[str, int] = field(default_factory=dict)
     top_ups: list[tuple[float, str, int]] = field(default_factory=list)
@@ -128,7 +128,7 @@
             await self._publish_initial_file(name, render_workspaces_file(part))
         for item in workspaces:
             self.prepaid_tokens[item.budget] = item.load.tokens
-        await wait_for(self._is_ready, "the fleet to be ready", READY_TIMEOUT_S)
+        await poll_until(self._is_ready, "the fleet to be ready", READY_TIMEOUT_S)
 
     async def _publish_initial_file(self, name: str, content: str) -> None:
         verdict = await self.publish(name, content)
@@ -153,7 +153,7 @@
         name = f"engine-{number}"
         self.engines.append(await self.launcher.start_standin(name, "engine", *options))
 
-    async def start_host(self) -> Running:
+    async def start_host(self) -> RunningProcess:
         """Start a host behind a proxy, with its own source address for cuts."""
         number = self.n_hosts_started
         self.n_hosts_started += 1
@@ -187,7 +187,7 @@
         )
         return all(answers)
 
-    async def _is_host_ready(self, host: Running, n_budgets: int) -> bool:
+    async def _is_host_ready(self, host: RunningProcess, n_budgets: int) -> bool:
         status = await self.launcher.get_json(f"{host.operator_url}/status")
         if status["phase"] != "serving" or status["revision"] < 0:
             return False
--- a/scripts/run_soak.py
+++ b/scripts/run_soak.py
@@ -4,7 +4,7 @@
 import asyncio
 import sys
 
-from tests.soak.soak import play
+from tests.soak.soak import run_soak_seed
 
 
 def main() -> None:
@@ -18,7 +18,7 @@
     arguments = parser.parse_args()
     n_failed = 0
     for seed in range(arguments.first, arguments.first + arguments.seeds):
-        result = asyncio.run(play(seed, arguments.seconds))
+        result = asyncio.run(run_soak_seed(seed, arguments.seconds))
         n_failed += bool(result.findings)
         print(
             f"seed={seed} requests={result.n_requests} served={result.n_served}"
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -18,7 +18,7 @@
     expect,
     print_step,
 )
-from standins.launcher import Launcher, LaunchError, wait_for
+from standins.launcher import Launcher, LaunchError, poll_until
 
 LOST_HOST = "brest-2"
 RETRY_HOST = "quimper-1"
@@ -108,7 +108,9 @@
         return n_seen
 
     async def _check_accounts(self) -> None:
-        await wait_for(self._is_lost_host_sealed, "the lost host's draws to be sealed")
+        await poll_until(
+            self._is_lost_host_sealed, "the lost host's draws to be sealed"
+        )
         n_tokens = await self.fleet.wait_until_settled()
         n_runs = sum(map(len, self.fleet.request_ids_by_key.values()))
         print_step(
--- a/standins/demo_fleet.py
+++ b/standins/demo_fleet.py
@@ -12,7 +12,7 @@
 
 import aiohttp
 
-from standins.launcher import Launcher, LaunchError, Running, wait_for
+from standins.launcher import Launcher, LaunchError, RunningProcess, poll_until
 
 EXAMPLE_FOLDER = Path(__file__).parent.parent / "examples" / "armor" / "config"
 WORKSPACE = "school-brest"
@@ -55,9 +55,9 @@
 
     launcher: Launcher
     secret: str = field(default_factory=lambda: secrets.token_urlsafe(24))
-    hosts: dict[str, Running] = field(default_factory=dict)
-    engines: list[Running] = field(default_factory=list)
-    service: Running = field(init=False)
+    hosts: dict[str, RunningProcess] = field(default_factory=dict)
+    engines: list[RunningProcess] = field(default_factory=list)
+    service: RunningProcess = field(init=False)
     request_ids_by_key: dict[str, set[str]] = field(default_factory=dict)
 
     async def start(self) -> None:
@@ -118,7 +118,7 @@
             )
             expect(verdict["accepted"], f"{name} was rejected: {verdict}")
             revision = verdict["revision"]
-        await wait_for(lambda: self._is_ready(revision), "all hosts to be ready")
+        await poll_until(lambda: self._is_ready(revision), "all hosts to be ready")
         duration_s = time.monotonic() - started
         print_step(
             "configuration",
@@ -182,27 +182,27 @@
         """Wait until every host shows the engines' token count, and return it."""
         n_tokens = await self.count_tokens_by_key()
         try:
-            await wait_for(lambda: self._is_settled(n_tokens), "the spend to settle")
+            await poll_until(lambda: self._is_settled(n_tokens), "the spend to settle")
         except LaunchError as error:
             budgets = [await self.get_budget(host) for host in self.hosts.values()]
             raise DemoError(f"{n_tokens} executed by key, but {budgets}") from error
         return n_tokens
 
-    def get_first_host(self) -> Running:
+    def get_first_host(self) -> RunningProcess:
         """Return the first running host."""
         return next(iter(self.hosts.values()))
 
-    async def get_json(self, host: Running, path: str) -> Any:
+    async def get_json(self, host: RunningProcess, path: str) -> Any:
         """Return the JSON at a path of a host's operator interface."""
         return await self.launcher.get_json(f"{host.operator_url}{path}")
 
-    async def get_budget(self, host: Running) -> dict[str, Any] | None:
+    async def get_budget(self, host: RunningProcess) -> dict[str, Any] | None:
         """Return the budget of the demo's workspace as one host reports it."""
         budgets = await self.get_json(host, "/budgets")
         found = [item for item in budgets if item["name"] == BUDGET]
         return found[0] if found else None
 
-    def post_chat(self, host: Running, key: str) -> Any:
+    def post_chat(self, host: RunningProcess, key: str) -> Any:
         """Send a streaming chat request with an idempotency key."""
         body = {
             "model": MODEL,
@@ -219,13 +219,13 @@
     def _make_headers(self, key: str) -> dict[str, str]:
         return {"Authorization": f"Bearer {self.secret}", "Idempotency-Key": key}
 
-    async def chat(self, host: Running, key: str) -> Answer:
+    async def chat(self, host: RunningProcess, key: str) -> Answer:
         """Send a chat request and read the whole answer."""
         async with self.post_chat(host, key) as response:
             self.record_run(key, response)
             return await read_answer(response)
 
-    async def book(self, host: Running, key: str) -> Answer:
+    async def book(self, host: RunningProcess, key: str) -> Answer:
         """Confirm a booking with an idempotency key."""
         async with self.launcher.session.post(
             f"{host.caller_url}/services/booking/confirm",
--- a/standins/keyed_store.py
+++ b/standins/keyed_store.py
@@ -47,12 +47,12 @@
 class KeyedStore:
     """Store keyed topics; can refuse calls, lose replies and delay writes."""
 
-    down: bool = False
-    refuse_share: float = 0.0
-    lose_share: float = 0.0
-    late_share: float = 0.0
+    is_down: bool = False
+    refused_call_share: float = 0.0
+    lost_reply_share: float = 0.0
+    delayed_write_share: float = 0.0
     generator: random.Random = field(default_factory=lambda: random.Random(1))
-    late: list[DelayedWrite] = field(default_factory=list)
+    delayed_writes: list[DelayedWrite] = field(default_factory=list)
     partitions: dict[tuple[Topic, int], Partition] = field(
         default_factory=lambda: defaultdict(Partition)
     )
@@ -91,18 +91,22 @@
         write = DelayedWrite(
             topic=topic, key=key, value=value, partition=partition, expected_offset=at
         )
-        if self.generator.random() < self.late_share:
-            self.late.append(write)
+        if self.generator.random() < self.delayed_write_share:
+            self.delayed_writes.append(write)
             raise StoreUnavailableError("no reply; the write may be applied later")
         offset = self._apply(write)
-        if self.generator.random() < self.lose_share:
+        if self.generator.random() < self.lost_reply_share:
             raise StoreUnavailableError("the reply to an applied write was lost")
         return offset
 
-    def land(self) -> None:
+    def apply_delayed_write(self) -> None:
         """Apply one delayed write if its expected offset still matches."""
-        if self.late:
-            self._apply(self.late.pop(self.generator.randrange(len(self.late))))
+        if self.delayed_writes:
+            self._apply(
+                self.delayed_writes.pop(
+                    self.generator.randrange(len(self.delayed_writes))
+                )
+            )
 
     def _apply(self, write: DelayedWrite) -> int | None:
         found = self.partitions[write.topic, write.partition]
@@ -118,7 +122,7 @@
         return offset
 
     def _check_available(self) -> None:
-        if self.down:
+        if self.is_down:
             raise StoreUnavailableError("the store is down")
-        if self.generator.random() < self.refuse_share:
+        if self.generator.random() < self.refused_call_share:
             raise StoreRefusedError("status 503")
--- a/standins/launcher.py
+++ b/standins/launcher.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(kw_only=True, slots=True, eq=False)
-class Running:
+class RunningProcess:
     """Describe a started process, its ports and the lines that it wrote."""
 
     name: str
@@ -50,7 +50,7 @@
         """Return the URL of a host's operator interface."""
         return f"http://{self.address}:{self.ports['operator_port']}"
 
-    def signal(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send a signal to this process only."""
         self.process.send_signal(number)
 
@@ -59,7 +59,7 @@
     """Start the processes of one fleet, and kill those that still run at exit."""
 
     def __init__(self) -> None:
-        self.running: dict[str, Running] = {}
+        self.processes: dict[str, RunningProcess] = {}
         self._folder = tempfile.TemporaryDirectory()
         self.session: aiohttp.ClientSession
 
@@ -68,17 +68,19 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        await asyncio.gather(*(self.kill(name) for name in list(self.running)))
+        await asyncio.gather(*(self.kill(name) for name in list(self.processes)))
         await self.session.close()
         self._folder.cleanup()
 
-    async def start_standin(self, name: str, kind: str, *options: str) -> Running:
+    async def start_standin(
+        self, name: str, kind: str, *options: str
+    ) -> RunningProcess:
         """Start a stand-in and wait until it has printed its port."""
         return await self._start(name, "standins", kind, *options)
 
     async def start_host(
         self, name: str, data_center: str, *, log_url: str, **extra: object
-    ) -> Running:
+    ) -> RunningProcess:
         """Start a host and wait until it has printed its ports."""
         settings = {
             "host": name,
@@ -93,7 +95,7 @@
         running.address = str(extra.get("address", LOOPBACK))
         return running
 
-    async def _start(self, name: str, module: str, *options: str) -> Running:
+    async def _start(self, name: str, module: str, *options: str) -> RunningProcess:
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -102,10 +104,10 @@
             stderr=asyncio.subprocess.PIPE,
             env={**os.environ, "PYTHONUNBUFFERED": "1"},
         )
-        running = Running(name=name, process=process)
+        running = RunningProcess(name=name, process=process)
         running.reader = asyncio.create_task(read_lines(running))
-        self.running[name] = running
-        await wait_for(
+        self.processes[name] = running
+        await poll_until(
             lambda: bool(running.ports) or process.returncode is not None,
             f"{name} to listen",
         )
@@ -117,7 +119,7 @@
 
     async def kill(self, name: str) -> None:
         """Kill a process with SIGKILL and wait until it has exited."""
-        running = self.running.pop(name)
+        running = self.processes.pop(name)
         with contextlib.suppress(ProcessLookupError):
             running.process.kill()
         await running.process.wait()
@@ -126,10 +128,10 @@
 
     async def stop(self, name: str, timeout_s: float = STOP_TIMEOUT_S) -> int:
         """Terminate a process with SIGTERM and return its exit code."""
-        running = self.running[name]
+        running = self.processes[name]
         running.process.terminate()
         code = await asyncio.wait_for(running.process.wait(), timeout_s)
-        del self.running[name]
+        del self.processes[name]
         return code
 
     async def get_json(self, url: str) -> Any:
@@ -143,7 +145,7 @@
             return await response.json()
 
 
-async def read_lines(running: Running) -> None:
+async def read_lines(running: RunningProcess) -> None:
     """Collect a process's stderr lines, and the ports from the first that has any."""
     stream = running.process.stderr
     if stream is None:
@@ -168,7 +170,7 @@
     return str(value) if isinstance(value, int | float) else f'"{value}"'
 
 
-async def wait_for(
+async def poll_until(
     condition: Any, description: str, timeout_s: float = CONDITION_TIMEOUT_S
 ) -> None:
     """Wait until a condition is true; it may be a coroutine function.
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -20,8 +20,8 @@
 READ_POLL_S = 0.02
 
 
-async def serve(app: web.Application, port: int = 0) -> tuple[web.AppRunner, int]:
-    """Serve an application and return its port; 0 lets the kernel choose one."""
+async def start_app(app: web.Application, port: int = 0) -> tuple[web.AppRunner, int]:
+    """Start to serve an application; port 0 lets the kernel choose one."""
     runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
     await runner.setup()
     await web.TCPSite(runner, LOOPBACK, port).start()
@@ -51,16 +51,16 @@
 
     async def _list_newest(self, request: web.Request) -> web.Response:
         topic, part = self._parse_partition(request)
-        listing = await self._store.list_newest(topic, part)
+        batch = await self._store.list_newest(topic, part)
         items = [
             {
                 "key": item.key,
                 "value": base64.b64encode(item.value or b"").decode(),
                 "offset": item.offset,
             }
-            for item in listing.records
+            for item in batch.records
         ]
-        return web.json_response({"items": items, "end_offset": listing.end_offset})
+        return web.json_response({"items": items, "end_offset": batch.end_offset})
 
     async def _read(self, request: web.Request) -> web.Response:
         topic, part = self._parse_partition(request)
--- a/tests/common.py
+++ b/tests/common.py
@@ -10,7 +10,7 @@
 
 from pydantic import TypeAdapter
 
-from standins.launcher import Launcher, LaunchError, Running, wait_for
+from standins.launcher import Launcher, LaunchError, RunningProcess, poll_until
 from standins.proxy import FaultProxy
 from tests.answers import CallerAnswer
 from tests.kept_lines import keep_lines
@@ -70,10 +70,10 @@
     engine_options: tuple[str, ...] = ()
     log_options: tuple[str, ...] = ()
     launcher: Launcher = field(default_factory=Launcher)
-    log: Running = field(init=False)
-    service: Running = field(init=False)
-    engines: list[Running] = field(default_factory=list)
-    hosts: list[Running] = field(default_factory=list)
+    log: RunningProcess = field(init=False)
+    service: RunningProcess = field(init=False)
+    engines: list[RunningProcess] = field(default_factory=list)
+    hosts: list[RunningProcess] = field(default_factory=list)
     proxies: dict[str, FaultProxy] = field(default_factory=dict)
     data_centers: tuple[str, ...] = ("brest",)
     more_config: str = ""
@@ -94,7 +94,7 @@
         return self
 
     def _keep_lines(self) -> None:
-        keep_lines({item.name: item.lines for item in self.launcher.running.values()})
+        keep_lines({item.name: item.lines for item in self.launcher.processes.values()})
 
     async def __aexit__(self, kind: type[BaseException] | None, *_: object) -> None:
         if kind is not None:
@@ -128,9 +128,9 @@
             )
             + self.more_config,
         )
-        await wait_for(self.is_ready, "the fleet to be ready")
+        await poll_until(self.is_ready, "the fleet to be ready")
 
-    async def start_host(self, name: str) -> Running:
+    async def start_host(self, name: str) -> RunningProcess:
         """Start one more host behind a proxy, with its own source address."""
         number = int(name.rsplit("-", 1)[1])
         proxy = await self._add_proxy(name, 0)
@@ -152,12 +152,14 @@
         self.proxies[name] = proxy
         return proxy
 
-    def cut(self, sources: list[Running], names: list[str]) -> None:
+    def cut(self, sources: list[RunningProcess], names: list[str]) -> None:
         """Block all traffic of hosts through the named proxies, both ways."""
         for name in names:
             self.proxies[name].cut(*(get_address(host.name) for host in sources))
 
-    def cut_apart(self, side: list[Running], other: list[Running]) -> None:
+    def cut_apart(
+        self, side: list[RunningProcess], other: list[RunningProcess]
+    ) -> None:
         """Block all traffic between two groups of hosts."""
         self.cut(side, [host.name for host in other])
         self.cut(other, [host.name for host in side])
@@ -187,13 +189,15 @@
                 return False
         return True
 
-    async def get_budget(self, host: Running, name: str = "brest") -> dict[str, Any]:
+    async def get_budget(
+        self, host: RunningProcess, name: str = "brest"
+    ) -> dict[str, Any]:
         """Return a budget as a host's operator API reports it."""
         budgets = await self.launcher.get_json(f"{host.operator_url}/budgets")
         return next(item for item in budgets if item["name"] == name)
 
     async def list_executed(
-        self, engine: Running | None = None
+        self, engine: RunningProcess | None = None
     ) -> list[dict[str, Any]]:
         """Return the requests on the meter of one engine, or of all engines."""
         meters = [
@@ -203,7 +207,11 @@
         return [request for meter in meters for request in meter["requests"]]
 
     async def wait_for_spend(
-        self, tokens: int, *, name: str = "brest", hosts: list[Running] | None = None
+        self,
+        tokens: int,
+        *,
+        name: str = "brest",
+        hosts: list[RunningProcess] | None = None,
     ) -> None:
         """Wait until hosts report a number of tokens as spent from a budget."""
         shown: list[int] = []
@@ -216,11 +224,11 @@
             return all(spent == tokens for spent in shown)
 
         try:
-            await wait_for(is_shown, f"{name} to show {tokens} spent", 15.0)
+            await poll_until(is_shown, f"{name} to show {tokens} spent", 15.0)
         except LaunchError as error:
             raise AssertionError(f"spent {shown}, expected {tokens}") from error
 
-    async def get_pool(self, host: Running, account: str) -> Any:
+    async def get_pool(self, host: RunningProcess, account: str) -> Any:
         """Return a host's state of its draws on an account, if it has any."""
         state = await self.launcher.get_json(f"{host.operator_url}/state")
         return state["BudgetController"]["pools"].get(account)
@@ -233,12 +241,12 @@
         ]
         return sum(meter["tokens"] for meter in meters)
 
-    async def get_ledger(self, host: Running) -> dict[str, Any]:
+    async def get_ledger(self, host: RunningProcess) -> dict[str, Any]:
         """Return a host's folded state of the first ledger stream."""
         state = await self.launcher.get_json(f"{host.operator_url}/state")
         return dict(state["blackboard"]["ledgers"]["0"])
 
-    async def list_executed_at(self, engine: Running) -> list[dict[str, Any]]:
+    async def list_executed_at(self, engine: RunningProcess) -> list[dict[str, Any]]:
         """Return the requests on an engine's meter."""
         meter = await self.launcher.get_json(f"{engine.url}/meter")
         return list(meter["requests"])
@@ -266,7 +274,7 @@
 
     async def chat(
         self,
-        host: Running,
+        host: RunningProcess,
         *,
         max_tokens: int = 10,
         stream: bool = False,
@@ -287,7 +295,7 @@
 
     async def book(
         self,
-        host: Running,
+        host: RunningProcess,
         key: str,
         *,
         operation: str = "confirm",
@@ -304,12 +312,12 @@
             method=method,
         )
 
-    async def control(self, running: Running, **orders: object) -> None:
+    async def control(self, running: RunningProcess, **orders: object) -> None:
         """Set a stand-in's speed and faults; settings that are not named are reset."""
         answer = await self.launcher.post_json(f"{running.url}/control", orders)
         assert answer == {"ok": True}, answer
 
-    async def get_intent(self, host: Running, key: str) -> dict[str, Any] | None:
+    async def get_intent(self, host: RunningProcess, key: str) -> dict[str, Any] | None:
         """Return the state of a booking's intent as a host has folded it."""
         state = await self.launcher.get_json(f"{host.operator_url}/state")
         digest = hash_idempotency_key("brest-school", key)
@@ -318,7 +326,7 @@
                 return dict(ledger["intents"][digest])
         return None
 
-    def pick_key(self, home: Running) -> str:
+    def pick_key(self, home: RunningProcess) -> str:
         """Return an idempotency key that has the given host as its home."""
         names = [host.name for host in self.hosts]
         for number in itertools.count():
@@ -330,7 +338,7 @@
 
     async def call(
         self,
-        host: Running,
+        host: RunningProcess,
         path: str,
         body: object,
         *,
--- a/tests/components/admission/test_overload.py
+++ b/tests/components/admission/test_overload.py
@@ -5,7 +5,7 @@
 import time
 import unittest
 
-from standins.launcher import wait_for
+from standins.launcher import poll_until
 from tests.answers import CallerAnswer
 from tests.common import Fleet
 
@@ -33,7 +33,9 @@
                 )
                 for _ in range(6)
             ]
-            await wait_for(lambda: self.has_started(fleet, 2), "the target to be full")
+            await poll_until(
+                lambda: self.has_started(fleet, 2), "the target to be full"
+            )
             high = await fleet.chat(host, max_tokens=5)
             answers = await asyncio.gather(*low)
             self.assertEqual({high.status, *(item.status for item in answers)}, {200})
@@ -54,7 +56,9 @@
             running = [
                 asyncio.create_task(fleet.chat(host, max_tokens=60)) for _ in range(2)
             ]
-            await wait_for(lambda: self.has_started(fleet, 3), "the target to be full")
+            await poll_until(
+                lambda: self.has_started(fleet, 3), "the target to be full"
+            )
             started = time.monotonic()
             answers = await asyncio.gather(*(fleet.chat(host) for _ in range(6)))
             waited_s = time.monotonic() - started
@@ -94,7 +98,7 @@
                 await asyncio.gather(*(fleet.chat(host) for _ in range(4)))
                 return bool(await fleet.list_executed_at(failing_engine))
 
-            await wait_for(is_used, "the target to receive requests again")
+            await poll_until(is_used, "the target to receive requests again")
 
     async def has_started(self, fleet: Fleet, n_requests: int) -> bool:
         """Return whether the first engine has started at least this many requests."""
--- a/tests/components/crashes/test_recorder.py
+++ b/tests/components/crashes/test_recorder.py
@@ -92,11 +92,11 @@
     async def test_host_that_cannot_reach_the_store_asks_one_peer(self) -> None:
         """Guard against crashes known only to a host that can't reach the store."""
         recorder = self.make_recorder(LARGE)
-        self.store.down = True
+        self.store.is_down = True
         recorder.record([make_crash("a", "x")])
         await self.wait()
         self.assertEqual([report.relay for _, report in self.links.sent], [True])
-        self.store.down = False
+        self.store.is_down = False
         await self.wait(1.1 * RETRY_INTERVAL_S)
         self.assertEqual(self.list_written(), ["a/x"])
 
@@ -105,7 +105,7 @@
         for unable, able in (("host-1", "host-2"), ("host-2", "host-1")):
             recorder = self.make_recorder(SMALL)
             self.board.peers[unable].store_in_reach = False
-            self.store.down = True
+            self.store.is_down = True
             recorder.record([make_crash("a", "x")])
             await self.wait()
             asked = [host for host, report in self.links.sent if report.relay]
@@ -132,7 +132,7 @@
     async def test_number_of_pending_writes_is_limited(self) -> None:
         """Guard against memory that grows while the store is unreachable."""
         recorder = self.make_recorder(["host-0"])
-        self.store.down = True
+        self.store.is_down = True
         crashes: list[Crash] = [
             make_crash(f"r-{number}", "x") for number in range(MAX_CRASHES + 10)
         ]
--- a/tests/components/escrow/common.py
+++ b/tests/components/escrow/common.py
@@ -158,12 +158,12 @@
         """Let a host read its predecessor's promise, or later renew its own."""
         keeper = self.keepers[host]
         if self.boards[host].untouched is None:
-            if self.store.down or self.store.refuse_share:
+            if self.store.is_down or self.store.refused_call_share:
                 return
             await keeper.read_predecessor()
         else:
             # The host's followers would have recorded the store's reply.
-            if not self.store.down:
+            if not self.store.is_down:
                 self.boards[host].store.last_answer = self.timer.time
             await keeper.renew()
 
@@ -244,7 +244,7 @@
 
 def pick_faults(store: KeyedStore, generator: random.Random) -> None:
     """Set new random faults of the store."""
-    store.down = generator.random() < 0.2
-    store.refuse_share = generator.choice([0.0, 0.0, 0.3])
-    store.lose_share = generator.choice([0.0, 0.0, 0.4])
-    store.late_share = generator.choice([0.0, 0.0, 0.4])
+    store.is_down = generator.random() < 0.2
+    store.refused_call_share = generator.choice([0.0, 0.0, 0.3])
+    store.lost_reply_share = generator.choice([0.0, 0.0, 0.4])
+    store.delayed_write_share = generator.choice([0.0, 0.0, 0.4])
--- a/tests/components/escrow/test_home.py
+++ b/tests/components/escrow/test_home.py
@@ -89,7 +89,7 @@
         cluster.timer.time += generator.choice([0.5, 1.5, 4.0])
         for host in HOSTS:
             cluster.start(host)
-        cluster.store.down, cluster.store.refuse_share = False, 0.0
+        cluster.store.is_down, cluster.store.refused_call_share = False, 0.0
         for host in HOSTS:
             await cluster.run_lock_keeper(host)
         cluster.update_all_peers()
@@ -122,7 +122,7 @@
         pick_faults(cluster.store, generator)
         cluster.unreachable = {host} if generator.random() < 0.3 else set()
     elif action == "land_late_writes":
-        cluster.store.land()
+        cluster.store.apply_delayed_write()
 
 
 class HomeTest(unittest.IsolatedAsyncioTestCase):
@@ -180,7 +180,7 @@
             if number == 50:
                 await home._check_stocks()
                 await home._account_tasks[WORKSPACE]
-                cluster.store.down = True
+                cluster.store.is_down = True
             cluster.timer.time += 0.1
             held = await cluster.hold(
                 "brest-1", "lorient-1", WORKSPACE, f"request-{number}", 1_000
@@ -200,13 +200,13 @@
             await cluster.hold("brest-1", "lorient-1", WORKSPACE, "first", 10_000)
         )
         cluster.settle("first", 1_000)
-        cluster.store.late_share = 1.0
+        cluster.store.delayed_write_share = 1.0
         await home.return_unused()
         self.assertFalse(
             await cluster.hold("brest-1", "lorient-1", WORKSPACE, "second", 5_000)
         )
-        cluster.store.land()
-        cluster.store.late_share = 0.0
+        cluster.store.apply_delayed_write()
+        cluster.store.delayed_write_share = 0.0
         cluster.start("quimper-1")
         self.assertTrue(
             await cluster.hold("quimper-1", "lorient-1", WORKSPACE, "third", 8_000)
@@ -287,13 +287,13 @@
         cluster.start("quimper-1")
         cluster.start("brest-1")
         cluster.update_all_peers()
-        cluster.store.late_share = 1.0
+        cluster.store.delayed_write_share = 1.0
         held = await cluster.hold("quimper-1", "lorient-1", WORKSPACE, "a", 1_000)
         self.assertFalse(held)
-        cluster.store.late_share = 0.0
+        cluster.store.delayed_write_share = 0.0
         held = await cluster.hold("brest-1", "lorient-1", WORKSPACE, "b", 9_000)
         self.assertTrue(held)
-        cluster.store.land()
+        cluster.store.apply_delayed_write()
         cluster.timer.time += 1.0
         held = await cluster.hold("quimper-1", "lorient-1", WORKSPACE, "c", 9_000)
         self.assertFalse(held)
@@ -303,7 +303,7 @@
         cluster = EscrowCluster(prepaid=10_000)
         cluster.start("lorient-1")
         home = cluster.start("brest-1")
-        cluster.store.down = True
+        cluster.store.is_down = True
         cluster.boards["brest-1"].store.out_of_reach = True
         refused = await home.hold(WORKSPACE, "a", 1_000, "lorient-1-1")
         self.assertIs(refused, Reason.BUDGET_UNCONFIRMED)
--- a/tests/components/escrow/test_lock.py
+++ b/tests/components/escrow/test_lock.py
@@ -183,13 +183,13 @@
         home would draw them and they would be spent a second time.
         """
         cluster = await self.start_hosts()
-        cluster.store.down = True
+        cluster.store.is_down = True
         board = cluster.boards["brest-1"].store
         board.record_failure(cluster.timer.time, "down")
         board.record_failure(cluster.timer.time + 0.6, "down")
         n_held = await self.request_holds(cluster, 60, "outage")
         self.assertGreater(n_held, 20)
-        cluster.store.down = False
+        cluster.store.is_down = False
         await self.restart_all(cluster, 1.5)
         account = cluster.homes["quimper-1"]._accounts[WORKSPACE]
         counted = account.record.drawn - account.unused
@@ -202,7 +202,7 @@
         the home reports.
         """
         cluster = await self.start_hosts()
-        cluster.store.down = True
+        cluster.store.is_down = True
         home = cluster.homes["brest-1"]
         cluster.boards["brest-1"].store.out_of_reach = True
         refused = await cluster.request_grant(
@@ -224,12 +224,12 @@
         """
         cluster = await self.start_hosts()
         home, lock = cluster.homes["brest-1"], cluster.keepers["brest-1"]._lock
-        cluster.store.down = True
+        cluster.store.is_down = True
         cluster.boards["brest-1"].store.out_of_reach = True
         cluster.timer.time = lock.until + 0.1
         held = await cluster.hold("brest-1", "lorient-1", WORKSPACE, "big", 20_000)
         self.assertTrue(held)
-        cluster.store.down = False
+        cluster.store.is_down = False
         cluster.boards["brest-1"].store.record_response(cluster.timer.time)
         await cluster.keepers["brest-1"].renew()
         self.assertTrue(lock.is_open(cluster.timer.time))
@@ -247,7 +247,7 @@
         cluster = await self.start_hosts()
         account = cluster.homes["brest-1"]._accounts[WORKSPACE]
         change = StockChange(tokens=0, locked=account.unused)
-        cluster.store.late_share = 1.0
+        cluster.store.delayed_write_share = 1.0
         with self.assertRaises(StoreUnavailableError):
             await cluster.homes["brest-1"]._account_store.change(
                 account, change, account.listed_requesters
@@ -267,9 +267,9 @@
             await cluster.hold("brest-1", "lorient-1", WORKSPACE, "a", 9_000)
         )
         cluster.settle("a", 1_000)
-        cluster.store.lose_share = 1.0
+        cluster.store.lost_reply_share = 1.0
         await home.return_unused()
-        cluster.store.lose_share = 0.0
+        cluster.store.lost_reply_share = 0.0
         account = home._accounts[WORKSPACE]
         # Reset the home's end offset to the one before the return.
         home._account_store._end_offsets[0] = account.pending_at
--- a/tests/components/escrow/test_recovery.py
+++ b/tests/components/escrow/test_recovery.py
@@ -178,7 +178,7 @@
         )
         cluster.start("quimper-1")
         cluster.update_all_peers()
-        cluster.store.late_share = 1.0
+        cluster.store.delayed_write_share = 1.0
         for name in ("b", "c"):
             cluster.timer.time += 1.0
             refused = await cluster.request_grant(
--- a/tests/components/test_announcement.py
+++ b/tests/components/test_announcement.py
@@ -3,7 +3,7 @@
 import unittest
 from unittest import mock
 
-from standins.launcher import wait_for
+from standins.launcher import poll_until
 from trefoilstage.blackboard import Blackboard
 from trefoilstage.components.membership.controller import (
     ANNOUNCE_CHECK_S,
@@ -38,10 +38,10 @@
         controller.set_announcement(ANNOUNCEMENT)
         checked = mock.AsyncMock()
         timer.subscribe(name="t", interval_s=3 * ANNOUNCE_CHECK_S, callback=checked)
-        await wait_for(lambda: checked.called, "a few checks")
+        await poll_until(lambda: checked.called, "a few checks")
         streams.submit_config.assert_not_called()
         streams.config.status.caught_up = True
-        await wait_for(lambda: streams.submit_config.called, "the announcement")
+        await poll_until(lambda: streams.submit_config.called, "the announcement")
         streams.submit_config.assert_called_once_with(ANNOUNCEMENT)
         await timer.on_stop()
 
--- a/tests/components/test_stalled_connects.py
+++ b/tests/components/test_stalled_connects.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 
 from bench.emulator.clock import run_virtually
-from standins.platform import LOOPBACK, serve
+from standins.platform import LOOPBACK, start_app
 from tests.components.forwarding.common import make_target
 from tests.components.forwarding.test_pipeline import FakeCollaborators, send_prompt
 from trefoilstage.components.crashes.probe import (
@@ -58,7 +58,7 @@
     async def asyncSetUp(self) -> None:
         app = web.Application()
         app.router.add_post("/{path:.*}", refuse_as_busy)
-        runner, self.port = await serve(app)
+        runner, self.port = await start_app(app)
         self.addAsyncCleanup(runner.cleanup)
         self.session = open_session(aiohttp.TCPConnector())
         self.addAsyncCleanup(self.session.close)
--- a/tests/fuzz/test_codecs.py
+++ b/tests/fuzz/test_codecs.py
@@ -13,7 +13,7 @@
 from websockets.asyncio.client import connect
 from websockets.exceptions import WebSocketException
 
-from standins.launcher import Running, wait_for
+from standins.launcher import RunningProcess, poll_until
 from tests.common import SECRET, Fleet
 from trefoilstage.blackboard import Blackboard
 from trefoilstage.components.log_client.checkpoints import (
@@ -240,7 +240,7 @@
                         self.assertEqual(response.status, 200)
             answer = await fleet.chat(host)
             self.assertEqual(answer.status, 200, answer.body)
-            await wait_for(
+            await poll_until(
                 lambda: any("record_malformed" in line for line in host.lines),
                 "the rejection to be logged",
             )
@@ -259,7 +259,7 @@
             self.assertEqual(states[0], states[1])
 
     async def send_bad_frames_to_peer_port(
-        self, host: Running, frames: list[bytes]
+        self, host: RunningProcess, frames: list[bytes]
     ) -> None:
         """Send each frame as binary and text, then raw TCP bytes, then a heartbeat."""
         url = f"ws://{host.address}:{host.ports['peer_port']}"
@@ -286,7 +286,9 @@
             assert isinstance(reply, bytes)
             self.assertIsInstance(PEER_CODEC.decode(reply).body, Heartbeat)
 
-    async def send_bad_bodies_to_http_ports(self, fleet: Fleet, host: Running) -> None:
+    async def send_bad_bodies_to_http_ports(
+        self, fleet: Fleet, host: RunningProcess
+    ) -> None:
         """Post each body to each path and expect a 4xx status."""
         headers = {"Authorization": f"Bearer {SECRET}"}
         paths = [
--- a/tests/promises/crashing.py
+++ b/tests/promises/crashing.py
@@ -4,7 +4,7 @@
 
 from aiohttp import web
 
-from standins.platform import PlatformTarget, reset_connection, serve
+from standins.platform import PlatformTarget, reset_connection, start_app
 from tests.promises.fleet import PlatformFleet
 from trefoilstage.components.views.store import Topic
 
@@ -58,7 +58,9 @@
         target = PlatformTarget(
             name=f"{old.name}+", event_interval_s=old.event_interval_s, runs=old.runs
         )
-        self._runners[number], _ = await serve(target.make_app(), fleet.ports[number])
+        self._runners[number], _ = await start_app(
+            target.make_app(), fleet.ports[number]
+        )
         fleet.runners.append(self._runners[number])
         fleet.targets[number] = target
         self._set_crash(number, target)
--- a/tests/promises/fleet.py
+++ b/tests/promises/fleet.py
@@ -15,14 +15,14 @@
 from aiohttp import web
 
 from standins.keyed_store import KeyedStore
-from standins.launcher import wait_for
+from standins.launcher import poll_until
 from standins.platform import (
     LOOPBACK,
     PlatformTarget,
     StoreServer,
     encode_configuration,
     encode_target,
-    serve,
+    start_app,
 )
 from standins.proxy import FaultProxy
 from tests.kept_lines import keep_lines
@@ -112,9 +112,9 @@
 
     async def _watch_stalls(self) -> None:
         """Record stalls of this process, in which the callers and targets run."""
-        watch = StallDetector(interval_s=STALL_CHECK_S)
+        detector = StallDetector(interval_s=STALL_CHECK_S)
         while True:
-            stall = watch.record_tick(time.monotonic(), time.process_time())
+            stall = detector.record_tick(time.monotonic(), time.process_time())
             if stall is not None:
                 self.recent_calls.append(f"{time.time():.6f} {stall}")
             await asyncio.sleep(STALL_CHECK_S)
@@ -127,7 +127,7 @@
         self.stall_watcher = asyncio.create_task(self._watch_stalls())
         for number in range(self.n_targets):
             target = PlatformTarget(name=f"i-{number}")
-            runner, port = await serve(target.make_app())
+            runner, port = await start_app(target.make_app())
             self.runners.append(runner)
             self.targets.append(target)
             self.ports.append(port)
@@ -180,7 +180,7 @@
     async def start_host(self, name: str) -> HostProcess:
         """Start a host and wait until it is ready and has listed all targets."""
         store_server = StoreServer(store=self.store)
-        runner, port = await serve(store_server.make_app())
+        runner, port = await start_app(store_server.make_app())
         self.runners.append(runner)
         if self.use_proxies:
             port = await self._put_proxy(name, port)
@@ -202,7 +202,7 @@
         host = HostProcess(name=name, store_server=store_server, process=process)
         host.reader = asyncio.create_task(host.read_lines())
         self.hosts[name] = host
-        await wait_for(
+        await poll_until(
             lambda: (
                 host.has_logged("host_ready")
                 and all(host.has_logged("target_listed", t.name) for t in self.targets)
--- a/tests/promises/test_answer.py
+++ b/tests/promises/test_answer.py
@@ -6,7 +6,7 @@
 
 import aiohttp
 
-from standins.launcher import wait_for
+from standins.launcher import poll_until
 from tests.common import OTHER_SECRET, SECRET, Fleet
 
 KEY_HEADERS = {"Idempotency-Key": "briefing-7"}
@@ -54,7 +54,7 @@
                     fleet.hosts[0], max_tokens=20, stream=True, headers=KEY_HEADERS
                 )
             )
-            await wait_for(fleet.list_executed, "the engine to run it")
+            await poll_until(fleet.list_executed, "the engine to run it")
             joined = await asyncio.gather(
                 *(
                     fleet.chat(host, max_tokens=20, stream=stream, headers=KEY_HEADERS)
@@ -89,11 +89,11 @@
             first = asyncio.create_task(
                 fleet.chat(fleet.hosts[0], max_tokens=40, stream=True, headers=key)
             )
-            await wait_for(fleet.list_executed, "the engine to run it")
+            await poll_until(fleet.list_executed, "the engine to run it")
             joined = asyncio.create_task(
                 fleet.chat(fleet.hosts[1], max_tokens=40, stream=True, headers=key)
             )
-            await wait_for(lambda: has_generated(fleet, 5), "some tokens")
+            await poll_until(lambda: has_generated(fleet, 5), "some tokens")
             await fleet.launcher.kill("host-0")
             with self.assertRaises(aiohttp.ClientError):
                 await first
@@ -165,7 +165,9 @@
             await fleet.control(fleet.engines[0], tokens_per_s=50)
             for stream in (True, False):
                 await self._cancel_running_chat(fleet, stream=stream, headers={})
-                await wait_for(lambda: is_request_stopped(fleet), "the engine to stop")
+                await poll_until(
+                    lambda: is_request_stopped(fleet), "the engine to stop"
+                )
             await self._cancel_running_chat(fleet, stream=True, headers=KEY_HEADERS)
             retry = await fleet.chat(
                 fleet.hosts[1], max_tokens=200, headers=KEY_HEADERS
@@ -188,7 +190,7 @@
             executed = await fleet.list_executed()
             return len(executed) > before and executed[-1]["completion_tokens"] > 2
 
-        await wait_for(is_running, "the engine to run it")
+        await poll_until(is_running, "the engine to run it")
         chat.cancel()
 
 
--- a/tests/promises/test_billing.py
+++ b/tests/promises/test_billing.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from standins.launcher import Running, wait_for
+from standins.launcher import RunningProcess, poll_until
 from tests.answers import CallerAnswer
 from tests.common import Fleet
 
@@ -78,7 +78,7 @@
                 executed = await fleet.list_executed()
                 return bool(executed and executed[0]["completion_tokens"] > 5)
 
-            await wait_for(is_running, "the engine to run it")
+            await poll_until(is_running, "the engine to run it")
             await fleet.launcher.kill("host-0")
             await asyncio.gather(first, return_exceptions=True)
             await fleet.control(fleet.engines[0])
@@ -91,7 +91,7 @@
                 holders = [draw["holder"] for draw in ledger["draws"].values()]
                 return not any(holder.startswith("host-0-") for holder in holders)
 
-            await wait_for(is_recovered, "the lost host's draw to be closed")
+            await poll_until(is_recovered, "the lost host's draw to be closed")
             await self._check_bill(fleet, fleet.hosts[1:], tokens)
 
     async def test_retry_after_the_answer_is_forgotten(self) -> None:
@@ -108,12 +108,12 @@
                 retry = await fleet.chat(fleet.hosts[1], headers=KEY_HEADERS)
                 return bool(retry.json["id"] != first.json["id"])
 
-            await wait_for(is_run_again, "the answer to expire")
+            await poll_until(is_run_again, "the answer to expire")
             self.assertGreaterEqual(len(await fleet.list_executed()), 2)
             await self._check_bill(fleet, fleet.hosts, tokens)
 
     async def _check_bill(
-        self, fleet: Fleet, hosts: list[Running], tokens: int
+        self, fleet: Fleet, hosts: list[RunningProcess], tokens: int
     ) -> None:
         """Check what one key was billed, after every host has settled its runs.
 
@@ -127,7 +127,7 @@
         await fleet.wait_for_spend(tokens, hosts=hosts)
 
     async def _retry_until_answered(
-        self, fleet: Fleet, host: Running, max_tokens: int = 10
+        self, fleet: Fleet, host: RunningProcess, max_tokens: int = 10
     ) -> CallerAnswer:
         """Retry while the key is refused; hosts detect a partition with a delay."""
         answers: list[CallerAnswer] = []
@@ -138,5 +138,5 @@
             )
             return answers[-1].status == 200
 
-        await wait_for(is_answered, "an answer")
+        await poll_until(is_answered, "an answer")
         return answers[-1]
--- a/tests/promises/test_booking.py
+++ b/tests/promises/test_booking.py
@@ -5,7 +5,7 @@
 import unittest
 from collections.abc import Awaitable, Callable
 
-from standins.launcher import Running, wait_for
+from standins.launcher import RunningProcess, poll_until
 from tests.answers import CallerAnswer
 from tests.common import Fleet, get_address
 
@@ -18,7 +18,7 @@
 
     async def assert_one_effect(self, fleet: Fleet, key: str) -> None:
         """Retry on all running hosts and check that the service acted at most once."""
-        alive = [host for host in fleet.hosts if host.name in fleet.launcher.running]
+        alive = [host for host in fleet.hosts if host.name in fleet.launcher.processes]
         await asyncio.gather(*(fleet.book(host, key) for host in alive))
         self.assertLessEqual(len(await fleet.list_effects()), 1)
 
@@ -88,7 +88,7 @@
         async with Fleet() as fleet:
             await fleet.control(fleet.service, delay_s=0.5)
             booking = asyncio.create_task(fleet.book(fleet.hosts[0], "strip-7"))
-            await wait_for(fleet.list_effects, "the effect")
+            await poll_until(fleet.list_effects, "the effect")
             booking.cancel()
             answer = await fleet.book(fleet.hosts[1], "strip-7")
             self.assertEqual(answer.status, 200, answer.body)
@@ -136,7 +136,7 @@
         """
         async with Fleet() as fleet:
             first = await fleet.book(fleet.hosts[0], "strip-7")
-            await wait_for(
+            await poll_until(
                 lambda: has_outcome(fleet, fleet.hosts[1], "strip-7"), "the outcome"
             )
             await fleet.control(fleet.log, down=True)
@@ -152,7 +152,7 @@
             async def is_booked() -> bool:
                 return (await fleet.book(fleet.hosts[1], "strip-8")).status == 200
 
-            await wait_for(is_booked, "the refused key to be booked")
+            await poll_until(is_booked, "the refused key to be booked")
             self.assertEqual(len(await fleet.list_effects()), 2)
 
     async def test_service_refuses_or_cannot_be_reached(self) -> None:
@@ -199,28 +199,30 @@
                 budgets = [await fleet.get_budget(host) for host in fleet.hosts]
                 return all(budget["spent"] == 100 for budget in budgets)
 
-            await wait_for(is_settled, "the cost to show on every host")
+            await poll_until(is_settled, "the cost to show on every host")
             self.assertEqual(len(await fleet.list_effects()), 1)
 
 
-Step = Callable[[Fleet, Running, str, Booking], Awaitable[None]]
+Step = Callable[[Fleet, RunningProcess, str, Booking], Awaitable[None]]
 
 
-async def has_outcome(fleet: Fleet, host: Running, key: str) -> bool:
+async def has_outcome(fleet: Fleet, host: RunningProcess, key: str) -> bool:
     """Return whether a host has folded the outcome of a key."""
     intent = await fleet.get_intent(host, key)
     return intent is not None and intent["status"] is not None
 
 
-async def hold_intent(fleet: Fleet, victim: Running, key: str, task: Booking) -> None:
+async def hold_intent(
+    fleet: Fleet, victim: RunningProcess, key: str, task: Booking
+) -> None:
     """Hold the intent on its way to the log."""
     rule = fleet.proxies["log"].rules[get_address(victim.name)]
     rule.hold_requests = True
-    await wait_for(lambda: rule.n_held > 0, "the intent to be held")
+    await poll_until(lambda: rule.n_held > 0, "the intent to be held")
 
 
 async def hold_intent_reply(
-    fleet: Fleet, victim: Running, key: str, task: Booking
+    fleet: Fleet, victim: RunningProcess, key: str, task: Booking
 ) -> None:
     """Hold the log's reply after the log has stored the intent.
 
@@ -233,28 +235,32 @@
     await wait_for_open_intent(fleet, key)
 
 
-async def hold_call(fleet: Fleet, victim: Running, key: str, task: Booking) -> None:
+async def hold_call(
+    fleet: Fleet, victim: RunningProcess, key: str, task: Booking
+) -> None:
     """Hold the call on its way to the service."""
     rule = fleet.proxies["service"].rules[get_address(victim.name)]
     rule.hold_requests = True
-    await wait_for(lambda: rule.n_held > 0, "the call to be held")
+    await poll_until(lambda: rule.n_held > 0, "the call to be held")
     await wait_for_open_intent(fleet, key)
 
 
 async def hold_service_reply(
-    fleet: Fleet, victim: Running, key: str, task: Booking
+    fleet: Fleet, victim: RunningProcess, key: str, task: Booking
 ) -> None:
     """Hold the service's reply after its effect."""
     rule = fleet.proxies["service"].rules[get_address(victim.name)]
     rule.hold_answers = True
-    await wait_for(lambda: rule.n_held > 0, "the answer to be held")
+    await poll_until(lambda: rule.n_held > 0, "the answer to be held")
 
 
-async def hold_outcome(fleet: Fleet, victim: Running, key: str, task: Booking) -> None:
+async def hold_outcome(
+    fleet: Fleet, victim: RunningProcess, key: str, task: Booking
+) -> None:
     """Hold the outcome on its way to the log."""
     rule = fleet.proxies["service"].rules[get_address(victim.name)]
     rule.hold_answers = True
-    await wait_for(lambda: rule.n_held > 0, "the answer to be held")
+    await poll_until(lambda: rule.n_held > 0, "the answer to be held")
     fleet.proxies["log"].rules[get_address(victim.name)].hold_requests = True
     rule.hold_answers = False
     await task
@@ -267,4 +273,4 @@
         intent = await fleet.get_intent(fleet.hosts[0], key)
         return intent is not None and intent["status"] is None
 
-    await wait_for(is_open, "an intent without an outcome")
+    await poll_until(is_open, "an intent without an outcome")
--- a/tests/promises/test_budget.py
+++ b/tests/promises/test_budget.py
@@ -5,7 +5,7 @@
 import time
 import unittest
 
-from standins.launcher import Running, wait_for
+from standins.launcher import RunningProcess, poll_until
 from tests.answers import CallerAnswer
 from tests.common import Fleet, get_address, make_config
 
@@ -35,17 +35,17 @@
             await fleet.chat(frozen)
             fleet.proxies["engine-0"].rules[address].hold_requests = True
             waiting = asyncio.create_task(fleet.chat(frozen, max_tokens=200))
-            await wait_for(
+            await poll_until(
                 lambda: is_holding(fleet, frozen), "the hold to be confirmed"
             )
-            frozen.signal(signal.SIGSTOP)
+            frozen.send_signal(signal.SIGSTOP)
             queued = asyncio.create_task(fleet.chat(frozen, max_tokens=200))
-            await wait_for(
+            await poll_until(
                 lambda: is_draw_closed(fleet, fleet.hosts[1:], frozen),
                 "the frozen host's draw to be sealed",
             )
             await self.spend_rest(fleet, fleet.hosts[1:])
-            frozen.signal(signal.SIGCONT)
+            frozen.send_signal(signal.SIGCONT)
             fleet.proxies["engine-0"].heal(address)
             answers = await asyncio.gather(waiting, queued)
             self.assertNotIn(HTTP_OK, [answer.status for answer in answers])
@@ -64,14 +64,14 @@
         ) as fleet:
             victim = fleet.hosts[0]
             calls = start_chats(fleet, victim, max_tokens=400)
-            await wait_for(
+            await poll_until(
                 lambda: is_running(fleet, N_BURST_REQUESTS), "requests to run"
             )
             await fleet.launcher.kill(victim.name)
             started = time.monotonic()
             await asyncio.gather(*calls, return_exceptions=True)
             survivors = fleet.hosts[1:]
-            await wait_for(
+            await poll_until(
                 lambda: is_released(fleet, survivors, 200), "all but 1% to be free"
             )
             print(f"measured: 99% free {time.monotonic() - started:.2f} s after a kill")
@@ -124,7 +124,7 @@
                 lower = budget["paid"] == executed + 50
                 return bool(lower and budget["free"] >= 0)
 
-            await wait_for(is_given_back, "the hosts to return tokens")
+            await poll_until(is_given_back, "the hosts to return tokens")
             await self.spend_rest(fleet, fleet.hosts)
             await self.check_settled(fleet, paid=executed + 50)
 
@@ -138,7 +138,7 @@
             await fleet.control(fleet.log, lose_answers=3)
             await spend_everywhere(fleet, fleet.hosts, 2)
             await fleet.control(fleet.log, lose_answers=3)
-            await wait_for(lambda: is_all_returned(fleet), "unheld tokens to return")
+            await poll_until(lambda: is_all_returned(fleet), "unheld tokens to return")
             await self.check_settled(fleet, paid=3_000)
 
     async def test_host_and_its_witness_killed_together(self) -> None:
@@ -155,7 +155,7 @@
         ) as fleet:
             victim = fleet.hosts[0]
             calls = start_chats(fleet, victim, max_tokens=N_LONG_TOKENS)
-            await wait_for(
+            await poll_until(
                 lambda: is_running(fleet, N_BURST_REQUESTS), "requests to run"
             )
             witness = await find_witness(fleet, victim)
@@ -166,7 +166,7 @@
             fleet.hosts = [
                 host for host in fleet.hosts if host.name not in (victim.name, witness)
             ]
-            await wait_for(lambda: is_engine_idle(fleet), "the engine to be idle")
+            await poll_until(lambda: is_engine_idle(fleet), "the engine to be idle")
             answer = await fleet.chat(fleet.hosts[0])
             self.assertEqual(answer.status, HTTP_OK, answer.body)
             await fleet.control(fleet.engines[0], tokens_per_s=2_000)
@@ -183,14 +183,14 @@
             await fleet.chat(fleet.hosts[0])
             name = await find_witness(fleet, fleet.hosts[0])
             witness = next(host for host in fleet.hosts if host.name == name)
-            witness.signal(signal.SIGSTOP)
+            witness.send_signal(signal.SIGSTOP)
             answer = await fleet.chat(fleet.hosts[0])
-            witness.signal(signal.SIGCONT)
+            witness.send_signal(signal.SIGCONT)
             self.assertEqual(answer.status, HTTP_OK, answer.body)
-            await wait_for(lambda: is_all_returned(fleet), "unheld tokens to return")
+            await poll_until(lambda: is_all_returned(fleet), "unheld tokens to return")
             await self.check_settled(fleet, paid=5_000)
 
-    async def spend_rest(self, fleet: Fleet, hosts: list[Running]) -> None:
+    async def spend_rest(self, fleet: Fleet, hosts: list[RunningProcess]) -> None:
         """Send requests until each host has refused one because the budget is spent."""
         refused: set[str] = set()
         deadline = time.monotonic() + 30
@@ -215,12 +215,12 @@
                 for budget in budgets
             )
 
-        await wait_for(is_settled, "every host to show what was executed")
+        await poll_until(is_settled, "every host to show what was executed")
         self.assertLessEqual(await fleet.count_executed(), paid)
 
 
 def start_chats(
-    fleet: Fleet, host: Running, *, max_tokens: int
+    fleet: Fleet, host: RunningProcess, *, max_tokens: int
 ) -> list[asyncio.Task[CallerAnswer]]:
     """Send a burst of long streaming requests to a host."""
     return [
@@ -229,19 +229,23 @@
     ]
 
 
-async def spend_everywhere(fleet: Fleet, hosts: list[Running], n_each: int) -> None:
+async def spend_everywhere(
+    fleet: Fleet, hosts: list[RunningProcess], n_each: int
+) -> None:
     """Send requests to all hosts concurrently; the answers are not checked."""
     await asyncio.gather(*(fleet.chat(host) for host in hosts for _ in range(n_each)))
 
 
-async def is_holding(fleet: Fleet, host: Running) -> bool:
+async def is_holding(fleet: Fleet, host: RunningProcess) -> bool:
     """Return whether a host's witness has confirmed a hold."""
     pool = await fleet.get_pool(host, ACCOUNT)
     draw = pool["current"] if pool else None
     return bool(draw and draw["holds"] and not draw["unconfirmed"])
 
 
-async def is_draw_closed(fleet: Fleet, hosts: list[Running], lost: Running) -> bool:
+async def is_draw_closed(
+    fleet: Fleet, hosts: list[RunningProcess], lost: RunningProcess
+) -> bool:
     """Return whether none of the hosts shows an open draw of a lost host."""
     for host in hosts:
         state = await fleet.launcher.get_json(f"{host.operator_url}/state")
@@ -252,7 +256,7 @@
     return True
 
 
-async def find_witness(fleet: Fleet, host: Running) -> str:
+async def find_witness(fleet: Fleet, host: RunningProcess) -> str:
     """Return the name of the host that is the witness of another host's draw."""
     pool = await fleet.get_pool(host, ACCOUNT)
     incarnation = pool["current"]["witness"]
@@ -271,7 +275,9 @@
     return bool(meter["running"] == 0)
 
 
-async def is_released(fleet: Fleet, hosts: list[Running], max_held_tokens: int) -> bool:
+async def is_released(
+    fleet: Fleet, hosts: list[RunningProcess], max_held_tokens: int
+) -> bool:
     """Return whether all unspent tokens except `max_held_tokens` are free."""
     executed = await fleet.count_executed()
     budgets = [await fleet.get_budget(host) for host in hosts]
--- a/tests/promises/test_configuration.py
+++ b/tests/promises/test_configuration.py
@@ -4,7 +4,7 @@
 import unittest
 from typing import Any
 
-from standins.launcher import Running, wait_for
+from standins.launcher import RunningProcess, poll_until
 from tests.common import Fleet
 
 IN_FORCE_TIMEOUT_S = 5.0
@@ -12,34 +12,39 @@
 
 
 async def publish(
-    fleet: Fleet, host: Running, name: str, content: str, operation: str, **more: Any
+    fleet: Fleet,
+    host: RunningProcess,
+    name: str,
+    content: str,
+    operation: str,
+    **more: Any,
 ) -> Any:
     """Publish a file at a host and return the verdict."""
     body = {"operation": operation, "name": name, "content": content, **more}
     return await fleet.launcher.post_json(f"{host.operator_url}/config/publish", body)
 
 
-async def remove(fleet: Fleet, host: Running, name: str, operation: str) -> Any:
+async def remove(fleet: Fleet, host: RunningProcess, name: str, operation: str) -> Any:
     """Remove a file at a host and return the verdict."""
     body = {"operation": operation, "name": name}
     return await fleet.launcher.post_json(f"{host.operator_url}/config/remove", body)
 
 
-async def get_files(fleet: Fleet, host: Running) -> dict[str, str]:
+async def get_files(fleet: Fleet, host: RunningProcess) -> dict[str, str]:
     """Return the files in force on a host."""
     files = await fleet.launcher.get_json(f"{host.operator_url}/config/files")
     return {item["name"]: item["content"] for item in files}
 
 
 async def wait_until_in_force(
-    fleet: Fleet, host: Running, name: str, content: str | None
+    fleet: Fleet, host: RunningProcess, name: str, content: str | None
 ) -> None:
     """Wait until a host has a file's content in force; None means no such file."""
 
     async def holds() -> bool:
         return (await get_files(fleet, host)).get(name) == content
 
-    await wait_for(holds, f"{name} in force on {host.name}", IN_FORCE_TIMEOUT_S)
+    await poll_until(holds, f"{name} in force on {host.name}", IN_FORCE_TIMEOUT_S)
 
 
 async def control_log(fleet: Fleet, **control: Any) -> None:
@@ -123,7 +128,7 @@
                 files = [await get_files(fleet, host) for host in fleet.hosts]
                 return all(item.get("20-a.toml") for item in files)
 
-            await wait_for(holds, "the change on every host")
+            await poll_until(holds, "the change on every host")
 
 
 class RaceTest(unittest.IsolatedAsyncioTestCase):
@@ -233,7 +238,7 @@
                 lines = [line for host in fleet.hosts for line in host.lines]
                 return sum("message_type=log_lost" in line for line in lines) >= 3
 
-            await wait_for(is_lost, "the hosts to detect the outage")
+            await poll_until(is_lost, "the hosts to detect the outage")
             await asyncio.sleep(3.0)  # so that the outage exceeds the interval
             await control_log(fleet, retention=1)
             verdict = await publish(
--- a/tests/promises/test_crashes.py
+++ b/tests/promises/test_crashes.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from standins.launcher import wait_for
+from standins.launcher import poll_until
 from tests.promises.crashing import CRASHING_BODY, RESTART_DELAY_S, CrashingTargets
 from tests.promises.fleet import FleetAnswer, PlatformFleet
 
@@ -27,7 +27,7 @@
 async def wait_until_blocked(fleet: PlatformFleet) -> None:
     """Wait until every host has blocked a request."""
     for host in fleet.hosts.values():
-        await wait_for(
+        await poll_until(
             lambda host=host: host.has_logged("request_blocked"),
             f"{host.name} to block the request",
         )
@@ -37,7 +37,7 @@
     """Wait until every host has listed the targets that run now."""
     for host in fleet.hosts.values():
         for target in fleet.targets:
-            await wait_for(
+            await poll_until(
                 lambda host=host, target=target: host.has_logged(
                     "target_listed", f"target={target.name}"
                 ),
--- a/tests/promises/test_forwarding.py
+++ b/tests/promises/test_forwarding.py
@@ -7,7 +7,7 @@
 
 import aiohttp
 
-from standins.launcher import wait_for
+from standins.launcher import poll_until
 from standins.platform import LOOPBACK
 from tests.promises.fleet import FleetAnswer, PlatformFleet
 
@@ -144,10 +144,10 @@
             for target in fleet.targets:
                 target.n_events, target.event_interval_s = 1_000, 0.02
             call = asyncio.create_task(fleet.call("/stream/x"))
-            await wait_for(lambda: fleet.count_runs() == 1, "the run")
+            await poll_until(lambda: fleet.count_runs() == 1, "the run")
             call.cancel()
             host = fleet.hosts["host-0"]
-            await wait_for(
+            await poll_until(
                 lambda: host.has_logged("request_done", "complete=False"),
                 "the host to end the request",
             )
@@ -206,7 +206,7 @@
     async def stop_during_stream(self, fleet: PlatformFleet) -> FleetAnswer:
         """Stop the first host during a stream and return the stream's answer."""
         stream = asyncio.create_task(fleet.call("/stream/x"))
-        await wait_for(lambda: fleet.count_runs() == 1, "the run")
+        await poll_until(lambda: fleet.count_runs() == 1, "the run")
         fleet.hosts["host-0"].process.send_signal(signal.SIGTERM)
         return await stream
 
@@ -220,10 +220,10 @@
             for target in fleet.targets:
                 target.event_interval_s = 0.3
             call = asyncio.create_task(fleet.call("/stream/x"))
-            await wait_for(lambda: fleet.count_runs() == 1, "the run")
+            await poll_until(lambda: fleet.count_runs() == 1, "the run")
             host = fleet.hosts["host-0"]
             host.process.send_signal(signal.SIGTERM)
-            await wait_for(lambda: host.has_logged("host_draining"), "the drain")
+            await poll_until(lambda: host.has_logged("host_draining"), "the drain")
             async with (
                 aiohttp.ClientSession() as session,
                 session.get(f"http://{LOOPBACK}:{host.ready_port}/r") as ready,
@@ -244,10 +244,10 @@
             for target in fleet.targets:
                 target.event_interval_s = 1.2
             stream = asyncio.create_task(fleet.call("/stream/x"))
-            await wait_for(lambda: fleet.count_runs() == 1, "the run")
+            await poll_until(lambda: fleet.count_runs() == 1, "the run")
             host = fleet.hosts["host-0"]
             host.process.send_signal(signal.SIGTERM)
-            await wait_for(lambda: host.has_logged("host_draining"), "the drain")
+            await poll_until(lambda: host.has_logged("host_draining"), "the drain")
             statuses: set[int] = set()
             while not stream.done():
                 statuses.add((await fleet.call("/look/x", method="GET")).status)
@@ -315,10 +315,12 @@
         async with PlatformFleet(n_hosts=2) as fleet:
             cut_host = fleet.hosts["host-1"]
             cut_host.store_server.is_refusing = True
-            await wait_for(lambda: cut_host.has_logged("store_out_of_reach"), "the cut")
+            await poll_until(
+                lambda: cut_host.has_logged("store_out_of_reach"), "the cut"
+            )
             await fleet.write_configuration(2)
             await fleet.write_target(0, state="draining")
-            await wait_for(
+            await poll_until(
                 lambda: (
                     cut_host.has_logged("config_in_force", "version=2")
                     and cut_host.has_logged("target_listed", "i-0", "draining")
--- a/tests/promises/test_leaving.py
+++ b/tests/promises/test_leaving.py
@@ -6,7 +6,7 @@
 import unittest
 from typing import Any
 
-from standins.launcher import Running, wait_for
+from standins.launcher import RunningProcess, poll_until
 from tests.answers import CallerAnswer
 from tests.common import Fleet, get_address
 
@@ -33,7 +33,9 @@
         """Wait for the tasks that still run."""
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
-    def keep_sending(self, fleet: Fleet, host: Running, stopped: asyncio.Event) -> None:
+    def keep_sending(
+        self, fleet: Fleet, host: RunningProcess, stopped: asyncio.Event
+    ) -> None:
         """Start a task that sends one request after another until `stopped` is set."""
 
         async def send() -> None:
@@ -44,7 +46,7 @@
 
         self.tasks.append(asyncio.create_task(send()))
 
-    async def publish_leaving(self, fleet: Fleet, through: Running) -> float:
+    async def publish_leaving(self, fleet: Fleet, through: RunningProcess) -> float:
         """Publish at a host that engine-0 leaves; return the time of acceptance."""
         answer = await fleet.launcher.post_json(
             f"{through.operator_url}/config/publish",
@@ -73,7 +75,7 @@
             newest = max((item["started"] for item in executed), default=0.0)
             return bool(newest > accepted + NEW_WORK_LIMIT_S + 2.0)
 
-        await wait_for(is_over, "requests after the limit")
+        await poll_until(is_over, "requests after the limit")
 
     async def check_host_cut_off(
         self, fleet: Fleet, names: list[str], *, accepted_by: int
@@ -83,7 +85,7 @@
         stopped = asyncio.Event()
         for host in fleet.hosts:
             self.keep_sending(fleet, host, stopped)
-        await wait_for(lambda: self.has_work(fleet, 0), "a request at the target")
+        await poll_until(lambda: self.has_work(fleet, 0), "a request at the target")
         fleet.cut(fleet.hosts[:1], names)
         accepted = await self.publish_leaving(fleet, fleet.hosts[accepted_by])
         await self.wait_past_limit(fleet, accepted)
@@ -134,8 +136,10 @@
             for rule in rules:
                 rule.hold_requests = True
             late = [self.start_chat(fleet, frozen) for _ in range(4)]
-            await wait_for(lambda: self.is_sending(fleet, frozen, 4), "4 requests sent")
-            frozen.signal(signal.SIGSTOP)
+            await poll_until(
+                lambda: self.is_sending(fleet, frozen, 4), "4 requests sent"
+            )
+            frozen.send_signal(signal.SIGSTOP)
             accepted = await self.publish_leaving(fleet, fleet.hosts[1])
             stopped = asyncio.Event()
             self.keep_sending(fleet, fleet.hosts[1], stopped)
@@ -144,7 +148,7 @@
             for rule in rules:
                 rule.hold_requests = False
             late += [self.start_chat(fleet, frozen) for _ in range(4)]
-            frozen.signal(signal.SIGCONT)
+            frozen.send_signal(signal.SIGCONT)
             await asyncio.gather(*late)
             await self.check_no_new_work(fleet, accepted)
 
@@ -174,13 +178,15 @@
         executed = [await fleet.list_executed_at(engine) for engine in fleet.engines]
         return any(item["started"] > moment for items in executed for item in items)
 
-    def start_chat(self, fleet: Fleet, host: Running) -> asyncio.Task[Any]:
+    def start_chat(self, fleet: Fleet, host: RunningProcess) -> asyncio.Task[Any]:
         """Start a request in a task that the teardown waits for."""
         task = asyncio.create_task(fleet.chat(host, max_tokens=5))
         self.tasks.append(task)
         return task
 
-    async def is_sending(self, fleet: Fleet, host: Running, n_requests: int) -> bool:
+    async def is_sending(
+        self, fleet: Fleet, host: RunningProcess, n_requests: int
+    ) -> bool:
         """Return whether a host has at least `n_requests` active at targets."""
         targets = await fleet.launcher.get_json(f"{host.operator_url}/targets")
         return bool(sum(target["active"] for target in targets) >= n_requests)
--- a/tests/promises/test_membership.py
+++ b/tests/promises/test_membership.py
@@ -6,7 +6,7 @@
 
 import aiohttp
 
-from standins.launcher import Running, wait_for
+from standins.launcher import RunningProcess, poll_until
 from tests.common import Fleet
 from trefoilstage.blackboard import Blackboard
 from trefoilstage.components.membership.controller import list_draw_partners
@@ -20,7 +20,7 @@
 FAST_LOG = {"log_timeout_s": 0.5, "log_poll_s": 0.5}
 
 
-async def list_host_names(fleet: Fleet, host: Running) -> set[str]:
+async def list_host_names(fleet: Fleet, host: RunningProcess) -> set[str]:
     """Return the names of the hosts that a host knows."""
     known = await fleet.launcher.get_json(f"{host.operator_url}/hosts")
     return {entry["host"] for entry in known}
@@ -92,13 +92,13 @@
             async def are_gone() -> bool:
                 return await list_host_names(fleet, first) == {"host-0", "host-1"}
 
-            await wait_for(are_gone, "the lost hosts to be removed")
+            await poll_until(are_gone, "the lost hosts to be removed")
             fleet.heal()
 
             async def is_back() -> bool:
                 return cut.name in await list_host_names(fleet, first)
 
-            await wait_for(is_back, "the cut host to announce itself")
+            await poll_until(is_back, "the cut host to announce itself")
 
     async def test_large_fleet_recovers_a_lost_hosts_draw(self) -> None:
         """Kill a host that has a draw, in a fleet of twelve.
@@ -115,7 +115,7 @@
             async def is_drawn() -> bool:
                 return bool((await fleet.get_budget(fleet.hosts[0]))["held"] > 0)
 
-            await wait_for(is_drawn, "the draw")
+            await poll_until(is_drawn, "the draw")
             await fleet.launcher.kill(lost.name)
             with self.assertRaises(aiohttp.ClientError):
                 await running
@@ -124,12 +124,12 @@
                 budget = await fleet.get_budget(fleet.hosts[0])
                 return bool(budget["held"] == budget["doubtful"])
 
-            await wait_for(is_recovered, "the draw to be sealed")
+            await poll_until(is_recovered, "the draw to be sealed")
 
             async def is_gone() -> bool:
                 return lost.name not in await list_host_names(fleet, fleet.hosts[0])
 
-            await wait_for(is_gone, "the lost host to be removed")
+            await poll_until(is_gone, "the lost host to be removed")
 
     async def test_newcomer_without_log_learns_the_state_from_a_listed_peer(
         self,
@@ -159,7 +159,7 @@
             new_host = await fleet.start_host("host-2")
             await self.wait_until_files_match(fleet, listed, new_host)
 
-    async def start_listed(self, fleet: Fleet) -> Running:
+    async def start_listed(self, fleet: Fleet) -> RunningProcess:
         """Start the platform's host list and a host that is listed there."""
         platform = await fleet.launcher.start_standin("hosts", "hosts", "--lag-s=0.1")
         fleet.host_settings = {**FAST_LOG, "host_list_url": platform.url}
@@ -169,11 +169,11 @@
             answer: Any = await fleet.launcher.get_json(f"{platform.url}/hosts")
             return bool(answer["hosts"])
 
-        await wait_for(is_listed, "the list to show the host")
+        await poll_until(is_listed, "the list to show the host")
         return listed
 
     async def wait_until_files_match(
-        self, fleet: Fleet, old: Running, new: Running
+        self, fleet: Fleet, old: RunningProcess, new: RunningProcess
     ) -> None:
         """Wait until a new host serves; check that it has the files of an old one."""
 
@@ -181,7 +181,7 @@
             url = f"{new.operator_url}/status"
             return bool((await fleet.launcher.get_json(url))["phase"] == "serving")
 
-        await wait_for(is_serving, "the new host to serve")
+        await poll_until(is_serving, "the new host to serve")
         files = [
             await fleet.launcher.get_json(f"{host.operator_url}/config/files")
             for host in (old, new)
--- a/tests/promises/test_power.py
+++ b/tests/promises/test_power.py
@@ -7,7 +7,7 @@
 import unittest
 from typing import Any
 
-from standins.launcher import Running, wait_for
+from standins.launcher import RunningProcess, poll_until
 from tests.answers import CallerAnswer
 from tests.common import Fleet, get_address
 
@@ -53,7 +53,9 @@
         answer = await fleet.publish(name, content)
         self.assertTrue(answer["accepted"], answer)
         revision = answer["revision"]
-        await wait_for(lambda: self.is_limit_in_ledgers(fleet, revision), "the ceiling")
+        await poll_until(
+            lambda: self.is_limit_in_ledgers(fleet, revision), "the ceiling"
+        )
 
     async def is_limit_in_ledgers(self, fleet: Fleet, revision: int) -> bool:
         """Return whether every host's ledger has the limit of a revision."""
@@ -71,7 +73,11 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     def start_requests(
-        self, fleet: Fleet, hosts: list[Running], n_requests: int, max_tokens: int = 20
+        self,
+        fleet: Fleet,
+        hosts: list[RunningProcess],
+        n_requests: int,
+        max_tokens: int = 20,
     ) -> list[asyncio.Task[CallerAnswer]]:
         """Start requests in tasks, to the hosts in turn."""
         tasks = [
@@ -88,7 +94,7 @@
         highest = max(watts for _, watts in await fleet.list_power())
         self.assertLessEqual(highest, ceiling)
 
-    async def wait_until_free(self, fleet: Fleet, host: Running) -> None:
+    async def wait_until_free(self, fleet: Fleet, host: RunningProcess) -> None:
         """Wait until a host's ledger has no sealed draw of the site's watts."""
 
         async def is_free() -> bool:
@@ -100,7 +106,7 @@
             ]
             return not sealed
 
-        await wait_for(is_free, "lost hosts' watts to be free")
+        await poll_until(is_free, "lost hosts' watts to be free")
 
     async def test_frozen_host_wakes_after_its_watts_went_to_others(self) -> None:
         """Guard against late requests whose watts were given to other hosts.
@@ -116,19 +122,19 @@
             rule = fleet.proxies["engine-0"].rules[get_address(frozen.name)]
             rule.hold_requests = True
             late = self.start_requests(fleet, [frozen], 3)
-            await wait_for(
+            await poll_until(
                 lambda: self.has_confirmed_holds(fleet, frozen, 3 * WATTS_PER_REQUEST),
                 "watts to be held",
             )
-            frozen.signal(signal.SIGSTOP)
-            await wait_for(
+            frozen.send_signal(signal.SIGSTOP)
+            await poll_until(
                 lambda: self.is_sealed(fleet, others[0], released=True),
                 "the frozen host's watts to be released",
             )
             running = self.start_requests(fleet, others, 5, max_tokens=400)
-            await wait_for(lambda: self.is_running(fleet, 5), "others to run")
+            await poll_until(lambda: self.is_running(fleet, 5), "others to run")
             rule.hold_requests = False
-            frozen.signal(signal.SIGCONT)
+            frozen.send_signal(signal.SIGCONT)
             answers = await asyncio.gather(*late, *running)
             self.assertEqual([answer.status for answer in answers[3:]], [200] * 5)
             await self.check_never_above(fleet, IDLE_WATTS + 5 * WATTS_PER_REQUEST)
@@ -148,22 +154,22 @@
             rule = fleet.proxies["engine-0"].rules[get_address(frozen.name)]
             rule.hold_requests = True
             self.start_requests(fleet, [frozen], 3, max_tokens=400)
-            await wait_for(
+            await poll_until(
                 lambda: self.has_confirmed_holds(fleet, frozen, 3 * WATTS_PER_REQUEST),
                 "watts to be held",
             )
-            frozen.signal(signal.SIGSTOP)
-            await wait_for(
+            frozen.send_signal(signal.SIGSTOP)
+            await poll_until(
                 lambda: self.is_sealed(fleet, others[0], released=False),
                 "the frozen host's draw to be sealed",
             )
             for _ in range(10):
                 self.start_requests(fleet, others, 5, max_tokens=400)
                 await asyncio.sleep(0.1)
-            await wait_for(lambda: self.is_running(fleet, 2), "others to run")
+            await poll_until(lambda: self.is_running(fleet, 2), "others to run")
             rule.hold_requests = False
-            frozen.signal(signal.SIGCONT)
-            await wait_for(
+            frozen.send_signal(signal.SIGCONT)
+            await poll_until(
                 lambda: self.is_running(fleet, 5), "the late requests to run"
             )
             await asyncio.gather(*self.tasks)
@@ -188,7 +194,7 @@
         await self.set_ceiling(fleet, make_power_file(1, 5, checks_fencing=checks))
         victim, *others = fleet.hosts
         lost = self.start_requests(fleet, [victim], 4, max_tokens=600)
-        await wait_for(lambda: self.is_running(fleet, 4), "requests to run")
+        await poll_until(lambda: self.is_running(fleet, 4), "requests to run")
         await fleet.launcher.kill(victim.name)
         await asyncio.gather(*lost, return_exceptions=True)
 
@@ -207,7 +213,7 @@
             await self.set_ceiling(fleet, make_power_file(1, 5))
             victim = fleet.hosts[0]
             self.start_requests(fleet, [victim], 4, max_tokens=600)
-            await wait_for(lambda: self.is_running(fleet, 4), "requests to run")
+            await poll_until(lambda: self.is_running(fleet, 4), "requests to run")
             draws = (await fleet.get_ledger(victim))["draws"].values()
             witness = next(
                 draw["witness"] for draw in draws if draw["account"] == ACCOUNT
@@ -218,7 +224,7 @@
             await self.fill_site(fleet, last)
             await self.check_never_above(fleet, IDLE_WATTS + 5 * WATTS_PER_REQUEST)
 
-    async def fill_site(self, fleet: Fleet, hosts: list[Running]) -> None:
+    async def fill_site(self, fleet: Fleet, hosts: list[RunningProcess]) -> None:
         """Send requests to hosts until their requests use all the site's watts."""
 
         async def is_full() -> bool:
@@ -234,7 +240,7 @@
             ]
             return len(running) == 5
 
-        await wait_for(is_full, "the site's watts to be used by others")
+        await poll_until(is_full, "the site's watts to be used by others")
 
     async def test_target_is_out_of_reach_with_requests_running(self) -> None:
         """Cut a host from a target that continues to run its requests.
@@ -253,7 +259,7 @@
                 )
                 for _ in range(4)
             ]
-            await wait_for(lambda: self.is_running(fleet, 4), "requests to run")
+            await poll_until(lambda: self.is_running(fleet, 4), "requests to run")
             fleet.cut([cut_off], ["engine-0"])
             answers = await asyncio.gather(*lost)
             errors = [json.loads(answer.body)["error"] for answer in answers]
@@ -287,10 +293,10 @@
                 for host in fleet.hosts * 4
             ]
             self.tasks += load
-            await wait_for(lambda: self.is_running(fleet, 6), "the site to be full")
+            await poll_until(lambda: self.is_running(fleet, 6), "the site to be full")
             lowered = make_power_file(2, 3)
             await self.set_ceiling(fleet, lowered, "30-power.toml")
-            await wait_for(
+            await poll_until(
                 lambda: self.is_ceiling_in_force(fleet), "the ceiling in force"
             )
             in_force = time.monotonic()
@@ -299,7 +305,7 @@
             async def has_gone_on() -> bool:
                 return await fleet.count_executed() > n_before + 300
 
-            await wait_for(has_gone_on, "requests under the new ceiling")
+            await poll_until(has_gone_on, "requests under the new ceiling")
             stopped.set()
             await asyncio.gather(*load)
             power = await fleet.list_power()
@@ -310,7 +316,7 @@
             self.assertLessEqual(max(after), 2 * IDLE_WATTS + 3 * WATTS_PER_REQUEST)
 
     async def keep_sending(
-        self, fleet: Fleet, host: Running, stopped: asyncio.Event
+        self, fleet: Fleet, host: RunningProcess, stopped: asyncio.Event
     ) -> None:
         """Send one request after another until `stopped` is set."""
         while not stopped.is_set():
@@ -332,7 +338,7 @@
         return await self.count_running(fleet) >= n_requests
 
     async def has_confirmed_holds(
-        self, fleet: Fleet, host: Running, watts: int
+        self, fleet: Fleet, host: RunningProcess, watts: int
     ) -> bool:
         """Return whether a host holds `watts` that its witness has confirmed."""
         pool = await fleet.get_pool(host, ACCOUNT)
@@ -341,7 +347,9 @@
         held = [hold for hold in holds if hold["confirmed"]]
         return bool(sum(hold["tokens"] for hold in held) >= watts)
 
-    async def is_sealed(self, fleet: Fleet, host: Running, *, released: bool) -> bool:
+    async def is_sealed(
+        self, fleet: Fleet, host: RunningProcess, *, released: bool
+    ) -> bool:
         """Return whether the first host's draws are sealed, or are released."""
         draws = (await fleet.get_ledger(host))["draws"].values()
         mine = [
--- a/tests/promises/test_refusal.py
+++ b/tests/promises/test_refusal.py
@@ -9,7 +9,7 @@
 from collections.abc import AsyncIterator, Awaitable, Callable
 from dataclasses import dataclass
 
-from standins.launcher import Running, wait_for
+from standins.launcher import RunningProcess, poll_until
 from tests.answers import CallerAnswer
 from tests.common import OTHER_SECRET, SECRET, Fleet
 from trefoilstage.util.hashing import hash_idempotency_key
@@ -137,7 +137,7 @@
             await fleet.wait_for_spend(0)
             await self._check_no_secrets_shown(fleet, host)
 
-    async def _send_garbage(self, host: Running) -> None:
+    async def _send_garbage(self, host: RunningProcess) -> None:
         reader, writer = await asyncio.open_connection(
             host.address, host.ports["caller_port"]
         )
@@ -147,9 +147,9 @@
         self.assertIn(b" 400 ", answer.split(b"\r\n")[0])
         self.assertNotIn(b"Traceback", answer)
 
-    async def _check_no_secrets_shown(self, fleet: Fleet, host: Running) -> None:
-        host.signal(signal.SIGUSR1)
-        await wait_for(
+    async def _check_no_secrets_shown(self, fleet: Fleet, host: RunningProcess) -> None:
+        host.send_signal(signal.SIGUSR1)
+        await poll_until(
             lambda: any(line.startswith('{"') for line in host.lines), "the dump"
         )
         async with fleet.launcher.session.get(f"{host.operator_url}/state") as state:
@@ -251,7 +251,7 @@
         return sum(await asyncio.gather(*calls))
 
     async def _is_refused(
-        self, fleet: Fleet, host: Running, key: str, *, books: bool
+        self, fleet: Fleet, host: RunningProcess, key: str, *, books: bool
     ) -> bool:
         key = f"{key}-{host.name}"
         started = time.monotonic()
@@ -313,7 +313,7 @@
                 return False
         return True
 
-    await wait_for(is_noticed, "the hosts to detect the outage")
+    await poll_until(is_noticed, "the hosts to detect the outage")
 
 
 async def drain_host(fleet: Fleet) -> None:
@@ -327,8 +327,8 @@
     async def is_running() -> bool:
         return len(await fleet.list_executed()) > n_before
 
-    await wait_for(is_running, "the slow answer")
-    fleet.hosts[2].signal(signal.SIGTERM)
+    await poll_until(is_running, "the slow answer")
+    fleet.hosts[2].send_signal(signal.SIGTERM)
 
 
 async def clear_faults(fleet: Fleet) -> None:
@@ -350,7 +350,7 @@
 
     # Hosts send nothing to failed engines for some time; without this wait, the next
     # fault would affect no request.
-    await wait_for(is_mended, "all hosts to answer")
+    await poll_until(is_mended, "all hosts to answer")
 
 
 async def publish_lookups(fleet: Fleet, name: str, urls: list[str]) -> None:
@@ -370,7 +370,7 @@
         services = state["blackboard"]["config"]["configuration"]["services"]
         return answer.status == 404 and name in services
 
-    await wait_for(is_known, "the service to be known")
+    await poll_until(is_known, "the service to be known")
 
 
 def make_key() -> str:
@@ -378,7 +378,7 @@
     return f"key-{next(KEY_NUMBERS)}"
 
 
-async def send(fleet: Fleet, host: Running, case: BadRequest) -> CallerAnswer:
+async def send(fleet: Fleet, host: RunningProcess, case: BadRequest) -> CallerAnswer:
     """Send an invalid request and read the whole answer."""
     body = case.body() if callable(case.body) else case.body
     headers = list(case.headers)
--- a/tests/promises/test_settlement.py
+++ b/tests/promises/test_settlement.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from standins.launcher import wait_for
+from standins.launcher import poll_until
 from tests.common import Fleet, pack_state
 from trefoilstage.components.log_client.checkpoints import unpack_state
 from trefoilstage.components.log_client.folds import LEDGER_STATE_ADAPTER
@@ -187,11 +187,11 @@
             await fleet.control(fleet.log, lose_answers=4, retention=N_RECORDS_RETAINED)
             while await count_records(fleet) <= 2 * N_RECORDS_RETAINED:
                 await self.send_everywhere(fleet, 2)
-                await wait_for(lambda: is_settled(fleet), "the spend to settle")
+                await poll_until(lambda: is_settled(fleet), "the spend to settle")
             fleet.hosts.append(await fleet.start_host("host-3"))
-            await wait_for(fleet.is_ready, "the new host to be ready")
+            await poll_until(fleet.is_ready, "the new host to be ready")
             await self.send_everywhere(fleet, 1)
-            await wait_for(
+            await poll_until(
                 lambda: is_settled(fleet), "every host to show the same spend"
             )
 
--- a/tests/promises/test_shutdown.py
+++ b/tests/promises/test_shutdown.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from standins.launcher import Running, wait_for
+from standins.launcher import RunningProcess, poll_until
 from tests.answers import CallerAnswer
 from tests.common import Fleet
 
@@ -16,7 +16,7 @@
 EXIT_TIMEOUT_S = 15.0
 
 
-async def wait_until_settled(fleet: Fleet, host: Running) -> None:
+async def wait_until_settled(fleet: Fleet, host: RunningProcess) -> None:
     """Wait until nothing is held and the spend is what the engines executed."""
 
     async def is_settled() -> bool:
@@ -26,13 +26,13 @@
         settled = budget["held"] == 0 and budget["spent"] == executed
         return bool(whole and settled)
 
-    await wait_for(is_settled, "all draws to be returned")
+    await poll_until(is_settled, "all draws to be returned")
 
 
-async def wait_for_exit(fleet: Fleet, host: Running) -> int:
+async def wait_for_exit(fleet: Fleet, host: RunningProcess) -> int:
     """Wait until a host exits and return its exit code."""
     code = await asyncio.wait_for(host.process.wait(), EXIT_TIMEOUT_S)
-    fleet.launcher.running.pop(host.name, None)
+    fleet.launcher.processes.pop(host.name, None)
     return code
 
 
@@ -41,7 +41,7 @@
     """Send requests to hosts whose /health is good, and count the results."""
 
     fleet: Fleet
-    hosts: list[Running]
+    hosts: list[RunningProcess]
     n_whole: int = 0
     n_refused: int = 0
     failures: list[str] = field(default_factory=list)
@@ -61,7 +61,7 @@
                 continue
             self._count_answer(host, answer)
 
-    async def _pick(self) -> Running:
+    async def _pick(self) -> RunningProcess:
         while True:
             self._n_picks += 1
             host = self.hosts[self._n_picks % len(self.hosts)]
@@ -75,7 +75,7 @@
                 pass
             await asyncio.sleep(0)
 
-    def _count_answer(self, host: Running, answer: CallerAnswer) -> None:
+    def _count_answer(self, host: RunningProcess, answer: CallerAnswer) -> None:
         if answer.status == 200 and answer.is_whole_stream:
             self.n_whole += 1
             return
@@ -110,15 +110,15 @@
                 meter = await fleet.launcher.get_json(f"{fleet.engines[0].url}/meter")
                 return int(meter["running"]) == len(streams)
 
-            await wait_for(are_running, "the streams to run")
-            host.signal(signal.SIGTERM)
+            await poll_until(are_running, "the streams to run")
+            host.send_signal(signal.SIGTERM)
 
             async def is_leaving() -> bool:
                 url = f"{host.caller_url}/health"
                 async with fleet.launcher.session.get(url) as response:
                     return response.status == 503
 
-            await wait_for(is_leaving, "/health to report the shutdown")
+            await poll_until(is_leaving, "/health to report the shutdown")
             refused = await fleet.chat(host)
             self.assertEqual(refused.status, 503)
             error = json.loads(refused.body)["error"]
@@ -126,7 +126,7 @@
             self.assertEqual(error["effect"], "not_run")
             self.assertIn("Retry-After", refused.headers)
             self.assertEqual(refused.headers.get("Connection"), "close")
-            host.signal(signal.SIGTERM)
+            host.send_signal(signal.SIGTERM)
             answers = await asyncio.gather(*streams)
             self.assertTrue(all(answer.is_whole_stream for answer in answers))
             self.assertEqual(await wait_for_exit(fleet, host), 0)
@@ -150,10 +150,10 @@
             balancer.hosts += new
             for old in fleet.hosts:
                 before = balancer.n_whole
-                await wait_for(
+                await poll_until(
                     lambda seen=before: balancer.n_whole > seen + 5, "more answers"
                 )
-                old.signal(signal.SIGTERM)
+                old.send_signal(signal.SIGTERM)
                 self.assertEqual(await wait_for_exit(fleet, old), 0)
                 balancer.hosts.remove(old)
             balancer.is_stopped = True
@@ -175,7 +175,7 @@
             self.assertTrue(answer.is_whole_stream)
             control = f"{fleet.log.url}/control"
             await fleet.launcher.post_json(control, {"down": True})
-            host.signal(signal.SIGTERM)
+            host.send_signal(signal.SIGTERM)
             self.assertEqual(await wait_for_exit(fleet, host), 0)
             incomplete_lines = [
                 line for line in host.lines if "drain_incomplete" in line
@@ -187,7 +187,7 @@
                 budget = await fleet.get_budget(other)
                 return bool(budget["held"] == budget["doubtful"])
 
-            await wait_for(is_released, "the draws to be released")
+            await poll_until(is_released, "the draws to be released")
             budget = await fleet.get_budget(other)
             self.assertGreaterEqual(
                 budget["spent"] + budget["doubtful"], await fleet.count_executed()
@@ -215,8 +215,8 @@
                     caller_port=taken,
                 )
             )
-            await wait_for(lambda: "host-9" in launcher.running, "the start")
-            running = launcher.running["host-9"]
+            await poll_until(lambda: "host-9" in launcher.processes, "the start")
+            running = launcher.processes["host-9"]
             code = await asyncio.wait_for(running.process.wait(), EXIT_TIMEOUT_S)
             start.cancel()
             self.assertEqual(code, 1)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -36,7 +36,7 @@
     findings: list[str]
 
 
-async def play(seed: int, duration_s: float) -> SoakResult:
+async def run_soak_seed(seed: int, duration_s: float) -> SoakResult:
     """Start a fleet, call it under random faults, and check the results."""
     fleet = PlatformFleet(
         n_hosts=N_HOSTS, n_targets=3, prepaid=PREPAID_TOKENS, use_proxies=True
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from tests.soak.soak import play
+from tests.soak.soak import run_soak_seed
 
 SEEDS = (1, 2)
 DURATION_S = 8.0
@@ -23,7 +23,7 @@
         """
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                result = await play(seed, DURATION_S)
+                result = await run_soak_seed(seed, DURATION_S)
                 self.assertEqual(result.findings, [], result)
                 self.assertGreater(result.n_served, 0)
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from standins.launcher import wait_for
+from standins.launcher import poll_until
 from standins.proxy import FaultProxy
 from tests.common import SECRET, Fleet
 from trefoilstage.cli.output import ExitCode
@@ -238,7 +238,7 @@
             async def is_raised_on_both() -> bool:
                 return bool(await get_paid_amounts() == [fleet.tokens + 500] * 2)
 
-            await wait_for(is_raised_on_both, "the top-up on both hosts", timeout_s=5)
+            await poll_until(is_raised_on_both, "the top-up on both hosts", timeout_s=5)
 
     async def test_targets_hosts_requests_and_log_are_shown(self) -> None:
         async with Fleet(n_hosts=2, n_engines=2) as fleet:
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -9,7 +9,7 @@
 import unittest
 from typing import Any
 
-from standins.launcher import wait_for
+from standins.launcher import poll_until
 from tests.common import OTHER_SECRET, ROOT, SECRET, Fleet, read_table
 
 ONE_HOST_OPTIONS: dict[str, Any] = {"n_hosts": 1}
@@ -75,8 +75,8 @@
                 host, "/services/booking/confirm", {"strip": text}, headers=headers
             )
             dump = await fleet.launcher.get_json(f"{host.operator_url}/state")
-            host.signal(signal.SIGUSR1)
-            await wait_for(
+            host.send_signal(signal.SIGUSR1)
+            await poll_until(
                 lambda: any(line.startswith("{") for line in host.lines),
                 "the state dump",
             )
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -3,7 +3,7 @@
 import json
 import unittest
 
-from standins.launcher import wait_for
+from standins.launcher import poll_until
 from tests.common import Fleet
 
 
@@ -21,7 +21,7 @@
                 budgets = [await fleet.get_budget(host) for host in fleet.hosts]
                 return all(budget["spent"] == executed for budget in budgets)
 
-            await wait_for(is_settled, "the spend to show on every host")
+            await poll_until(is_settled, "the spend to show on every host")
 
     async def test_booking_takes_effect_once_and_is_replayed(self) -> None:
         async with Fleet() as fleet:
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from standins.launcher import wait_for
+from standins.launcher import poll_until
 from tests.common import OTHER_SECRET, SECRET, Fleet
 from trefoilstage.util.hashing import hash_to_bucket
 
@@ -51,4 +51,4 @@
                 held = sum(budget["held"] for budget in budgets)
                 return bool(spent == executed and held == 0)
 
-            await wait_for(is_settled, "the new host to show all spent tokens")
+            await poll_until(is_settled, "the new host to show all spent tokens")
