--- a/bench/trials/overload.py
+++ b/bench/trials/overload.py
@@ -67,9 +67,9 @@
         while time.monotonic() < started + WARM_UP_S + MEASURED_S:
             tasks.append(asyncio.create_task(send(len(tasks))))
             if not n_tokens_before and time.monotonic() >= started + WARM_UP_S:
-                n_tokens_before.append(await fleet.count_executed())
+                n_tokens_before.append(await fleet.count_executed_tokens())
             await asyncio.sleep(1 / (CAPACITY_REQUESTS_PER_S * factor))
-        tokens = await fleet.count_executed() - n_tokens_before[0]
+        tokens = await fleet.count_executed_tokens() - n_tokens_before[0]
         await asyncio.gather(*tasks)
         high_s.sort()
         refusals_s.sort()
--- a/bench/trials/power_divider.py
+++ b/bench/trials/power_divider.py
@@ -55,12 +55,12 @@
             host = fleet.hosts[len(tasks) % n_hosts]
             tasks.append(asyncio.create_task(fleet.chat(host, max_tokens=MAX_TOKENS)))
             if not n_tokens_before and time.monotonic() >= started + WARM_UP_S:
-                n_tokens_before.append(await fleet.count_executed())
+                n_tokens_before.append(await fleet.count_executed_tokens())
             await asyncio.sleep(1 / REQUESTS_PER_S)
-        tokens = await fleet.count_executed() - n_tokens_before[0]
+        tokens = await fleet.count_executed_tokens() - n_tokens_before[0]
         ended = time.monotonic()
         answers = await asyncio.gather(*tasks)
-        power = await fleet.list_power()
+        power = await fleet.list_power_changes()
         used_share = compute_used_share(power, started + WARM_UP_S, ended)
         refused = sum(answer.status != 200 for answer in answers)
         highest_watts = max(watts for _, watts in power)
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -54,7 +54,8 @@
         )
         for answer in answers:
             expect(
-                answer.is_whole_stream, f"not whole: {answer.status} {answer.body!r}"
+                answer.is_complete_stream,
+                f"incomplete stream: {answer.status} {answer.body!r}",
             )
         print_step(
             "briefings", f"{N_BRIEFINGS} streamed at {len(hosts)} hosts, all whole"
@@ -84,7 +85,7 @@
         while answer.retry_after_s and time.monotonic() - started < RETRY_LIMIT_S:
             await asyncio.sleep(answer.retry_after_s)
             answer = await self.fleet.chat(host, key)
-        expect(answer.is_whole_stream, f"retry: {answer.status} {answer.body!r}")
+        expect(answer.is_complete_stream, f"retry: {answer.status} {answer.body!r}")
         waited_s = time.monotonic() - started
         print_step("retry", f"same key at {host.name}: whole after {waited_s:.1f} s")
 
--- a/standins/demo_fleet.py
+++ b/standins/demo_fleet.py
@@ -44,7 +44,7 @@
     retry_after_s: float | None
 
     @property
-    def is_whole_stream(self) -> bool:
+    def is_complete_stream(self) -> bool:
         """Return whether the event stream ended with its end marker."""
         return self.status == HTTP_OK and self.body.endswith(END_OF_STREAM)
 
--- a/tests/answers.py
+++ b/tests/answers.py
@@ -50,6 +50,6 @@
         return dict(json.loads(tail)["error"])
 
     @property
-    def is_whole_stream(self) -> bool:
+    def is_complete_stream(self) -> bool:
         """Return whether an event stream ends with the `[DONE]` marker."""
         return self.body.endswith(b"data: [DONE]\n\n")
--- a/tests/common.py
+++ b/tests/common.py
@@ -13,7 +13,7 @@
 from standins.launcher import Launcher, LaunchError, RunningProcess, poll_until
 from standins.proxy import FaultProxy
 from tests.answers import CallerAnswer
-from tests.kept_lines import keep_lines
+from tests.saved_output import save_process_output
 from trefoilstage.components.log_client.checkpoints import (
     PackedState,
     compress_state,
@@ -76,7 +76,7 @@
     hosts: list[RunningProcess] = field(default_factory=list)
     proxies: dict[str, FaultProxy] = field(default_factory=dict)
     data_centers: tuple[str, ...] = ("brest",)
-    more_config: str = ""
+    extra_config: str = ""
 
     async def __aenter__(self) -> Self:
         # unittest enables the event loop's debug mode, which records a stack for each
@@ -88,17 +88,19 @@
         try:
             await self._start()
         except BaseException:
-            self._keep_lines()
+            self._save_process_output()
             await self.launcher.__aexit__()
             raise
         return self
 
-    def _keep_lines(self) -> None:
-        keep_lines({item.name: item.lines for item in self.launcher.processes.values()})
+    def _save_process_output(self) -> None:
+        save_process_output(
+            {item.name: item.lines for item in self.launcher.processes.values()}
+        )
 
     async def __aexit__(self, kind: type[BaseException] | None, *_: object) -> None:
         if kind is not None:
-            self._keep_lines()
+            self._save_process_output()
         for proxy in self.proxies.values():
             await proxy.stop()
         await self.launcher.__aexit__()
@@ -126,7 +128,7 @@
                 [self.proxies["service"].url],
                 tokens=self.tokens,
             )
-            + self.more_config,
+            + self.extra_config,
         )
         await poll_until(self.is_ready, "the fleet to be ready")
 
@@ -157,7 +159,7 @@
         for name in names:
             self.proxies[name].cut(*(get_address(host.name) for host in sources))
 
-    def cut_apart(
+    def cut_network_between(
         self, side: list[RunningProcess], other: list[RunningProcess]
     ) -> None:
         """Block all traffic between two groups of hosts."""
@@ -196,7 +198,7 @@
         budgets = await self.launcher.get_json(f"{host.operator_url}/budgets")
         return next(item for item in budgets if item["name"] == name)
 
-    async def list_executed(
+    async def list_executed_requests(
         self, engine: RunningProcess | None = None
     ) -> list[dict[str, Any]]:
         """Return the requests on the meter of one engine, or of all engines."""
@@ -233,7 +235,7 @@
         state = await self.launcher.get_json(f"{host.operator_url}/state")
         return state["BudgetController"]["pools"].get(account)
 
-    async def count_executed(self) -> int:
+    async def count_executed_tokens(self) -> int:
         """Return the number of tokens on the meters of all engines."""
         meters = [
             await self.launcher.get_json(f"{engine.url}/meter")
@@ -246,12 +248,14 @@
         state = await self.launcher.get_json(f"{host.operator_url}/state")
         return dict(state["blackboard"]["ledgers"]["0"])
 
-    async def list_executed_at(self, engine: RunningProcess) -> list[dict[str, Any]]:
+    async def list_engine_requests(
+        self, engine: RunningProcess
+    ) -> list[dict[str, Any]]:
         """Return the requests on an engine's meter."""
         meter = await self.launcher.get_json(f"{engine.url}/meter")
         return list(meter["requests"])
 
-    async def list_power(self) -> list[tuple[float, int]]:
+    async def list_power_changes(self) -> list[tuple[float, int]]:
         """Return the changes of the engines' total watts as (time, new total)."""
         changes: list[tuple[float, int]] = []
         for engine in self.engines:
@@ -312,7 +316,7 @@
             method=method,
         )
 
-    async def control(self, running: RunningProcess, **orders: object) -> None:
+    async def control_standin(self, running: RunningProcess, **orders: object) -> None:
         """Set a stand-in's speed and faults; settings that are not named are reset."""
         answer = await self.launcher.post_json(f"{running.url}/control", orders)
         assert answer == {"ok": True}, answer
@@ -326,7 +330,7 @@
                 return dict(ledger["intents"][digest])
         return None
 
-    def pick_key(self, home: RunningProcess) -> str:
+    def find_key_with_home(self, home: RunningProcess) -> str:
         """Return an idempotency key that has the given host as its home."""
         names = [host.name for host in self.hosts]
         for number in itertools.count():
@@ -371,7 +375,7 @@
     return asyncio.run(compress_state(dumped))
 
 
-def read_table(page: str, heading: str) -> list[str]:
+def read_first_column(page: str, heading: str) -> list[str]:
     """Return the first column of the table under a heading of a document."""
     text = (ROOT / "docs" / page).read_text()
     section = text.split(f"\n## {heading}\n")[1].split("\n## ")[0]
--- a/tests/components/admission/test_overload.py
+++ b/tests/components/admission/test_overload.py
@@ -39,7 +39,7 @@
             high = await fleet.chat(host, max_tokens=5)
             answers = await asyncio.gather(*low)
             self.assertEqual({high.status, *(item.status for item in answers)}, {200})
-            executed = await fleet.list_executed_at(fleet.engines[0])
+            executed = await fleet.list_engine_requests(fleet.engines[0])
             order = [item["priority"] for item in executed]
             self.assertIn(5, order[2:4])
 
@@ -68,7 +68,7 @@
                 self.check_refused(answer)
             self.assertLess(waited_s, 60.0)
             await asyncio.gather(*running)
-            executed = await fleet.list_executed_at(fleet.engines[0])
+            executed = await fleet.list_engine_requests(fleet.engines[0])
             self.assertEqual(len(executed), 3 + len(answers) - len(refused))
 
     def check_refused(self, answer: CallerAnswer) -> None:
@@ -96,13 +96,13 @@
 
             async def is_used() -> bool:
                 await asyncio.gather(*(fleet.chat(host) for _ in range(4)))
-                return bool(await fleet.list_executed_at(failing_engine))
+                return bool(await fleet.list_engine_requests(failing_engine))
 
             await poll_until(is_used, "the target to receive requests again")
 
     async def has_started(self, fleet: Fleet, n_requests: int) -> bool:
         """Return whether the first engine has started at least this many requests."""
-        executed = await fleet.list_executed_at(fleet.engines[0])
+        executed = await fleet.list_engine_requests(fleet.engines[0])
         return len(executed) >= n_requests
 
     async def test_full_target_refuses_no_caller_that_can_wait(self) -> None:
--- a/tests/promises/fleet.py
+++ b/tests/promises/fleet.py
@@ -25,7 +25,7 @@
     start_app,
 )
 from standins.proxy import FaultProxy
-from tests.kept_lines import keep_lines
+from tests.saved_output import save_process_output
 from trefoilstage.components.views.store import Topic
 from trefoilstage.util.stalls import StallDetector
 
@@ -160,7 +160,7 @@
             await self.kill(host.name)
         if kind is not None:
             lines = {host.name: host.lines for host in hosts}
-            keep_lines({**lines, "callers": list(self.recent_calls)})
+            save_process_output({**lines, "callers": list(self.recent_calls)})
         for proxy in self.proxies.values():
             await proxy.stop()
         for runner in self.runners:
--- a/tests/promises/test_billing.py
+++ b/tests/promises/test_billing.py
@@ -25,8 +25,10 @@
             )
             self.assertEqual({answer.status for answer in answers}, {200})
             self.assertEqual(len({answer.body for answer in answers}), 1)
-            self.assertEqual(len(await fleet.list_executed()), 1)
-            await self._check_bill(fleet, fleet.hosts, await fleet.count_executed())
+            self.assertEqual(len(await fleet.list_executed_requests()), 1)
+            await self._check_bill(
+                fleet, fleet.hosts, await fleet.count_executed_tokens()
+            )
 
     async def test_same_key_on_both_sides_of_a_cut(self) -> None:
         """Partition one host from the others and send the key on both sides.
@@ -35,13 +37,13 @@
         fold bills the more expensive run and credits the other.
         """
         async with Fleet() as fleet:
-            fleet.cut_apart(fleet.hosts[:1], fleet.hosts[1:])
+            fleet.cut_network_between(fleet.hosts[:1], fleet.hosts[1:])
             answers = await asyncio.gather(
                 *(self._retry_until_answered(fleet, host) for host in fleet.hosts)
             )
             fleet.heal()
             tokens = answers[0].json["usage"]["total_tokens"]
-            executed = await fleet.list_executed()
+            executed = await fleet.list_executed_requests()
             self.assertEqual([run["state"] for run in executed], ["finished"] * 2)
             await self._check_bill(fleet, fleet.hosts, tokens)
 
@@ -52,14 +54,14 @@
         same key.
         """
         async with Fleet() as fleet:
-            key = {"Idempotency-Key": fleet.pick_key(fleet.hosts[2])}
+            key = {"Idempotency-Key": fleet.find_key_with_home(fleet.hosts[2])}
             first = await fleet.chat(fleet.hosts[0], headers=key)
             tokens = first.json["usage"]["total_tokens"]
             await fleet.wait_for_spend(tokens)
             await fleet.launcher.kill("host-0")
             retry = await fleet.chat(fleet.hosts[1], headers=key)
             self.assertEqual(retry.status, 200, retry.body)
-            self.assertEqual(len(await fleet.list_executed()), 2)
+            self.assertEqual(len(await fleet.list_executed_requests()), 2)
             await self._check_bill(fleet, fleet.hosts[1:], tokens)
 
     async def test_host_killed_mid_answer(self) -> None:
@@ -69,22 +71,22 @@
         by its own host. Both have one key, so the more expensive one is billed.
         """
         async with Fleet() as fleet:
-            await fleet.control(fleet.engines[0], tokens_per_s=20)
+            await fleet.control_standin(fleet.engines[0], tokens_per_s=20)
             first = asyncio.create_task(
                 fleet.chat(fleet.hosts[0], max_tokens=30, headers=KEY_HEADERS)
             )
 
             async def is_running() -> bool:
-                executed = await fleet.list_executed()
+                executed = await fleet.list_executed_requests()
                 return bool(executed and executed[0]["completion_tokens"] > 5)
 
             await poll_until(is_running, "the engine to run it")
             await fleet.launcher.kill("host-0")
             await asyncio.gather(first, return_exceptions=True)
-            await fleet.control(fleet.engines[0])
+            await fleet.control_standin(fleet.engines[0])
             retry = await self._retry_until_answered(fleet, fleet.hosts[1], 30)
             tokens = retry.json["usage"]["total_tokens"]
-            self.assertEqual(len(await fleet.list_executed()), 2)
+            self.assertEqual(len(await fleet.list_executed_requests()), 2)
 
             async def is_recovered() -> bool:
                 ledger = await fleet.get_ledger(fleet.hosts[1])
@@ -109,7 +111,7 @@
                 return bool(retry.json["id"] != first.json["id"])
 
             await poll_until(is_run_again, "the answer to expire")
-            self.assertGreaterEqual(len(await fleet.list_executed()), 2)
+            self.assertGreaterEqual(len(await fleet.list_executed_requests()), 2)
             await self._check_bill(fleet, fleet.hosts, tokens)
 
     async def _check_bill(
--- a/tests/promises/test_booking.py
+++ b/tests/promises/test_booking.py
@@ -86,7 +86,7 @@
         confirmation instead of "unknown".
         """
         async with Fleet() as fleet:
-            await fleet.control(fleet.service, delay_s=0.5)
+            await fleet.control_standin(fleet.service, delay_s=0.5)
             booking = asyncio.create_task(fleet.book(fleet.hosts[0], "strip-7"))
             await poll_until(fleet.list_effects, "the effect")
             booking.cancel()
@@ -106,7 +106,7 @@
             for number, (operation, method) in enumerate(
                 [("confirm", "POST"), ("move", "PUT")]
             ):
-                await fleet.control(fleet.service, lose_answers=1)
+                await fleet.control_standin(fleet.service, lose_answers=1)
                 for host in fleet.hosts:
                     answer = await fleet.book(
                         host, operation, operation=operation, method=method
@@ -122,7 +122,7 @@
         the verdict on the first. The caller gets its confirmation.
         """
         async with Fleet() as fleet:
-            await fleet.control(fleet.log, lose_answers=1)
+            await fleet.control_standin(fleet.log, lose_answers=1)
             answer = await fleet.book(fleet.hosts[0], "strip-7")
             self.assertEqual(answer.status, 200, answer.body)
             await self.assert_one_effect(fleet, "strip-7")
@@ -139,7 +139,7 @@
             await poll_until(
                 lambda: has_outcome(fleet, fleet.hosts[1], "strip-7"), "the outcome"
             )
-            await fleet.control(fleet.log, down=True)
+            await fleet.control_standin(fleet.log, down=True)
             for host in fleet.hosts:
                 refused = await fleet.book(host, "strip-8")
                 self.assertEqual(refused.error, ("log_unavailable", "not_run"))
@@ -147,7 +147,7 @@
             replay = await fleet.book(fleet.hosts[1], "strip-7")
             self.assertEqual(replay.body, first.body)
             self.assertEqual(len(await fleet.list_effects()), 1)
-            await fleet.control(fleet.log)
+            await fleet.control_standin(fleet.log)
 
             async def is_booked() -> bool:
                 return (await fleet.book(fleet.hosts[1], "strip-8")).status == 200
@@ -164,9 +164,9 @@
         used again.
         """
         async with Fleet() as fleet:
-            await fleet.control(fleet.service, refuse_status=409)
+            await fleet.control_standin(fleet.service, refuse_status=409)
             refused = await fleet.book(fleet.hosts[0], "strip-1")
-            await fleet.control(fleet.service, padding_bytes=20_000)
+            await fleet.control_standin(fleet.service, padding_bytes=20_000)
             again = await fleet.book(fleet.hosts[1], "strip-1")
             self.assertEqual((again.status, again.body), (409, refused.body))
 
@@ -230,7 +230,7 @@
     its peers too.
     """
     others = [host for host in fleet.hosts if host is not victim]
-    fleet.cut_apart([victim], others)
+    fleet.cut_network_between([victim], others)
     fleet.proxies["log"].rules[get_address(victim.name)].hold_answers = True
     await wait_for_open_intent(fleet, key)
 
--- a/tests/promises/test_budget.py
+++ b/tests/promises/test_budget.py
@@ -88,7 +88,7 @@
         async with Fleet(n_hosts=4, tokens=900, host_settings=FAST_RECOVERY) as fleet:
             await spend_everywhere(fleet, fleet.hosts, 1)
             side_with_log, side_without_log = fleet.hosts[:2], fleet.hosts[2:]
-            fleet.cut_apart(side_with_log, side_without_log)
+            fleet.cut_network_between(side_with_log, side_without_log)
             fleet.cut(side_without_log, ["log"])
             await spend_everywhere(fleet, fleet.hosts, 2)
             verdict = await fleet.launcher.post_json(
@@ -97,7 +97,7 @@
             )
             self.assertTrue(verdict["accepted"])
             await self.spend_rest(fleet, side_with_log)
-            self.assertLessEqual(await fleet.count_executed(), 1_200)
+            self.assertLessEqual(await fleet.count_executed_tokens(), 1_200)
             fleet.heal()
             await self.spend_rest(fleet, fleet.hosts)
             await self.check_settled(fleet, paid=1_200)
@@ -110,7 +110,7 @@
         """
         async with Fleet(tokens=5_000, host_settings=FAST_RECOVERY) as fleet:
             await spend_everywhere(fleet, fleet.hosts, 4)
-            executed = await fleet.count_executed()
+            executed = await fleet.count_executed_tokens()
             lowered = make_config(
                 [fleet.proxies["engine-0"].url],
                 [fleet.proxies["service"].url],
@@ -135,9 +135,9 @@
         token is granted or freed twice: the whole budget except the spend is free.
         """
         async with Fleet(tokens=3_000) as fleet:
-            await fleet.control(fleet.log, lose_answers=3)
+            await fleet.control_standin(fleet.log, lose_answers=3)
             await spend_everywhere(fleet, fleet.hosts, 2)
-            await fleet.control(fleet.log, lose_answers=3)
+            await fleet.control_standin(fleet.log, lose_answers=3)
             await poll_until(lambda: is_all_returned(fleet), "unheld tokens to return")
             await self.check_settled(fleet, paid=3_000)
 
@@ -169,9 +169,9 @@
             await poll_until(lambda: is_engine_idle(fleet), "the engine to be idle")
             answer = await fleet.chat(fleet.hosts[0])
             self.assertEqual(answer.status, HTTP_OK, answer.body)
-            await fleet.control(fleet.engines[0], tokens_per_s=2_000)
+            await fleet.control_standin(fleet.engines[0], tokens_per_s=2_000)
             await self.spend_rest(fleet, fleet.hosts)
-            self.assertLessEqual(await fleet.count_executed(), 4_000)
+            self.assertLessEqual(await fleet.count_executed_tokens(), 4_000)
 
     async def test_frozen_witness_causes_no_refusal(self) -> None:
         """Freeze the witness of a host's draw.
@@ -208,7 +208,7 @@
         """Check that all hosts show the metered spend, and that it is within `paid`."""
 
         async def is_settled() -> bool:
-            executed = await fleet.count_executed()
+            executed = await fleet.count_executed_tokens()
             budgets = [await fleet.get_budget(host) for host in fleet.hosts]
             return all(
                 budget["spent"] == executed and budget["doubtful"] == 0
@@ -216,7 +216,7 @@
             )
 
         await poll_until(is_settled, "every host to show what was executed")
-        self.assertLessEqual(await fleet.count_executed(), paid)
+        self.assertLessEqual(await fleet.count_executed_tokens(), paid)
 
 
 def start_chats(
@@ -279,7 +279,7 @@
     fleet: Fleet, hosts: list[RunningProcess], max_held_tokens: int
 ) -> bool:
     """Return whether all unspent tokens except `max_held_tokens` are free."""
-    executed = await fleet.count_executed()
+    executed = await fleet.count_executed_tokens()
     budgets = [await fleet.get_budget(host) for host in hosts]
     return all(
         budget["paid"] - executed - budget["free"] <= max_held_tokens
--- a/tests/promises/test_configuration.py
+++ b/tests/promises/test_configuration.py
@@ -70,7 +70,7 @@
         async with Fleet(n_hosts=4, n_engines=0) as fleet:
             cut_host = fleet.hosts[3]
             fleet.cut([cut_host], ["log"])
-            fleet.cut_apart([cut_host], fleet.hosts[:2])
+            fleet.cut_network_between([cut_host], fleet.hosts[:2])
             verdict = await publish(
                 fleet, fleet.hosts[0], "20-a.toml", make_budget(1), "op-first-1"
             )
--- a/tests/promises/test_leaving.py
+++ b/tests/promises/test_leaving.py
@@ -61,7 +61,7 @@
 
     async def check_no_new_work(self, fleet: Fleet, accepted: float) -> None:
         """Check that the leaving target started no request after the limit."""
-        executed = await fleet.list_executed_at(fleet.engines[0])
+        executed = await fleet.list_engine_requests(fleet.engines[0])
         late = [
             item for item in executed if item["started"] > accepted + NEW_WORK_LIMIT_S
         ]
@@ -71,7 +71,7 @@
         """Wait until the other target has started a request 2 s after the limit."""
 
         async def is_over() -> bool:
-            executed = await fleet.list_executed_at(fleet.engines[1])
+            executed = await fleet.list_engine_requests(fleet.engines[1])
             newest = max((item["started"] for item in executed), default=0.0)
             return bool(newest > accepted + NEW_WORK_LIMIT_S + 2.0)
 
@@ -94,7 +94,7 @@
 
     async def has_work(self, fleet: Fleet, number: int) -> bool:
         """Return whether an engine has received a request."""
-        return bool(await fleet.list_executed_at(fleet.engines[number]))
+        return bool(await fleet.list_engine_requests(fleet.engines[number]))
 
     async def test_host_cut_from_the_log_reads_it_from_a_peer(self) -> None:
         """Cut a host from the log but not from its peers.
@@ -175,7 +175,9 @@
 
     async def has_started(self, fleet: Fleet, moment: float) -> bool:
         """Return whether any target started a request after a time."""
-        executed = [await fleet.list_executed_at(engine) for engine in fleet.engines]
+        executed = [
+            await fleet.list_engine_requests(engine) for engine in fleet.engines
+        ]
         return any(item["started"] > moment for items in executed for item in items)
 
     def start_chat(self, fleet: Fleet, host: RunningProcess) -> asyncio.Task[Any]:
--- a/tests/promises/test_membership.py
+++ b/tests/promises/test_membership.py
@@ -87,7 +87,7 @@
             await fleet.launcher.kill(killed.name)
             others = [host for host in fleet.hosts if host not in (cut, killed)]
             fleet.cut([cut], ["log"])
-            fleet.cut_apart([cut], others)
+            fleet.cut_network_between([cut], others)
 
             async def are_gone() -> bool:
                 return await list_host_names(fleet, first) == {"host-0", "host-1"}
--- a/tests/promises/test_power.py
+++ b/tests/promises/test_power.py
@@ -91,7 +91,7 @@
 
     async def check_never_above(self, fleet: Fleet, ceiling: int) -> None:
         """Check that the engines' total power never exceeded the ceiling."""
-        highest = max(watts for _, watts in await fleet.list_power())
+        highest = max(watts for _, watts in await fleet.list_power_changes())
         self.assertLessEqual(highest, ceiling)
 
     async def wait_until_free(self, fleet: Fleet, host: RunningProcess) -> None:
@@ -235,7 +235,7 @@
             running = [
                 item
                 for engine in fleet.engines
-                for item in await fleet.list_executed_at(engine)
+                for item in await fleet.list_engine_requests(engine)
                 if item["ended"] is None and item["incarnation"].startswith(names)
             ]
             return len(running) == 5
@@ -300,15 +300,15 @@
                 lambda: self.is_ceiling_in_force(fleet), "the ceiling in force"
             )
             in_force = time.monotonic()
-            n_before = await fleet.count_executed()
+            n_before = await fleet.count_executed_tokens()
 
             async def has_gone_on() -> bool:
-                return await fleet.count_executed() > n_before + 300
+                return await fleet.count_executed_tokens() > n_before + 300
 
             await poll_until(has_gone_on, "requests under the new ceiling")
             stopped.set()
             await asyncio.gather(*load)
-            power = await fleet.list_power()
+            power = await fleet.list_power_changes()
             self.assertLessEqual(
                 max(w for _, w in power), 2 * IDLE_WATTS + 8 * WATTS_PER_REQUEST
             )
--- a/tests/promises/test_refusal.py
+++ b/tests/promises/test_refusal.py
@@ -130,7 +130,7 @@
                     self.assertEqual(answer.error, (case.reason, "not_run"))
                     self.assertNotIn(SECRET.encode(), answer.body)
             await self._send_garbage(host)
-            self.assertEqual(await fleet.list_executed(), [])
+            self.assertEqual(await fleet.list_executed_requests(), [])
             self.assertEqual(await fleet.list_effects(), [])
             good = await fleet.chat(host, secret=OTHER_SECRET)
             self.assertEqual(good.status, 200, good.body)
@@ -173,7 +173,7 @@
                 self.assertEqual(other.error, ("key_reused", "not_run"))
                 same = await fleet.chat(host, headers=headers, stream=True)
                 self.assertEqual(same.text, first.text)
-            self.assertEqual(len(await fleet.list_executed()), 1)
+            self.assertEqual(len(await fleet.list_executed_requests()), 1)
             await fleet.wait_for_spend(first.json["usage"]["total_tokens"])
 
             await fleet.call(
@@ -204,12 +204,12 @@
             await publish_lookups(fleet, "one", [urls[0], "http://127.0.0.1:1"])
             for number in range(4):
                 headers = {KEY_HEADER: f"lookup-{number}"}
-                await fleet.control(fleet.service, lose_answers=1)
+                await fleet.control_standin(fleet.service, lose_answers=1)
                 answer = await fleet.call(
                     host, "/services/two/get", {}, headers=headers
                 )
                 self.assertEqual(answer.status, 200, answer.body)
-                await fleet.control(fleet.service, lose_answers=1)
+                await fleet.control_standin(fleet.service, lose_answers=1)
                 answer = await fleet.call(
                     host, "/services/one/get", {}, headers=headers
                 )
@@ -266,7 +266,7 @@
         self.assertIn("Retry-After", answer.headers, answer.body)
         if answer.error[1] == "not_run":
             request = answer.json["error"]["request_id"]
-            executed = [run["request"] for run in await fleet.list_executed()]
+            executed = [run["request"] for run in await fleet.list_executed_requests()]
             self.assertNotIn(request or "-", executed)
             effects = [effect["key"] for effect in await fleet.list_effects()]
             digest = hash_idempotency_key("brest-school", key)
@@ -281,13 +281,13 @@
 async def fail_engines(fleet: Fleet) -> None:
     """Let the engines answer every request with status 500 without running it."""
     for engine in fleet.engines:
-        await fleet.control(engine, fail_fast=True)
+        await fleet.control_standin(engine, fail_fast=True)
 
 
 async def fail_engines_midway(fleet: Fleet) -> None:
     """Let the engines process each prompt and then answer with status 500."""
     for engine in fleet.engines:
-        await fleet.control(engine, fail_after_prompt=True)
+        await fleet.control_standin(engine, fail_after_prompt=True)
 
 
 async def cut_engines(fleet: Fleet) -> None:
@@ -298,12 +298,12 @@
 
 async def cut_peers(fleet: Fleet) -> None:
     """Cut the first host from its peers."""
-    fleet.cut_apart(fleet.hosts[:1], fleet.hosts[1:])
+    fleet.cut_network_between(fleet.hosts[:1], fleet.hosts[1:])
 
 
 async def stop_log(fleet: Fleet) -> None:
     """Stop the log and wait until all hosts have noticed."""
-    await fleet.control(fleet.log, down=True)
+    await fleet.control_standin(fleet.log, down=True)
 
     async def is_noticed() -> bool:
         for host in fleet.hosts:
@@ -318,14 +318,14 @@
 
 async def drain_host(fleet: Fleet) -> None:
     """Start to drain one host, which a slow answer keeps running."""
-    await fleet.control(fleet.engines[0], tokens_per_s=5)
-    await fleet.control(fleet.engines[1], tokens_per_s=5)
-    n_before = len(await fleet.list_executed())
+    await fleet.control_standin(fleet.engines[0], tokens_per_s=5)
+    await fleet.control_standin(fleet.engines[1], tokens_per_s=5)
+    n_before = len(await fleet.list_executed_requests())
     slow = asyncio.create_task(fleet.chat(fleet.hosts[2], max_tokens=100))
     slow.add_done_callback(lambda task: task.cancelled() or task.exception())
 
     async def is_running() -> bool:
-        return len(await fleet.list_executed()) > n_before
+        return len(await fleet.list_executed_requests()) > n_before
 
     await poll_until(is_running, "the slow answer")
     fleet.hosts[2].send_signal(signal.SIGTERM)
@@ -334,9 +334,9 @@
 async def clear_faults(fleet: Fleet) -> None:
     """Remove all faults and wait until all hosts answer."""
     fleet.heal()
-    await fleet.control(fleet.log)
+    await fleet.control_standin(fleet.log)
     for engine in fleet.engines:
-        await fleet.control(engine)
+        await fleet.control_standin(engine)
         if not fleet.proxies[engine.name].is_listening:
             await fleet.proxies[engine.name].start()
 
--- a/tests/promises/test_settlement.py
+++ b/tests/promises/test_settlement.py
@@ -181,10 +181,14 @@
             log_options=("--retention", str(N_RECORDS_RETAINED)), host_settings=settings
         ) as fleet:
             await self.send_everywhere(fleet, 4)
-            await fleet.control(fleet.log, down=True, retention=N_RECORDS_RETAINED)
+            await fleet.control_standin(
+                fleet.log, down=True, retention=N_RECORDS_RETAINED
+            )
             answers = await self.send_everywhere(fleet, 4)
             self.assertIn(200, answers)
-            await fleet.control(fleet.log, lose_answers=4, retention=N_RECORDS_RETAINED)
+            await fleet.control_standin(
+                fleet.log, lose_answers=4, retention=N_RECORDS_RETAINED
+            )
             while await count_records(fleet) <= 2 * N_RECORDS_RETAINED:
                 await self.send_everywhere(fleet, 2)
                 await poll_until(lambda: is_settled(fleet), "the spend to settle")
@@ -209,7 +213,7 @@
 
 async def is_settled(fleet: Fleet) -> bool:
     """Return whether every host shows exactly the executed tokens as spent."""
-    executed = await fleet.count_executed()
+    executed = await fleet.count_executed_tokens()
     budgets = [await fleet.get_budget(host) for host in fleet.hosts]
     return all(budget["spent"] == executed for budget in budgets)
 
--- a/tests/promises/test_shutdown.py
+++ b/tests/promises/test_shutdown.py
@@ -21,7 +21,7 @@
 
     async def is_settled() -> bool:
         budget = await fleet.get_budget(host)
-        executed = await fleet.count_executed()
+        executed = await fleet.count_executed_tokens()
         whole = budget["free"] + budget["spent"] == budget["paid"]
         settled = budget["held"] == 0 and budget["spent"] == executed
         return bool(whole and settled)
@@ -76,7 +76,7 @@
             await asyncio.sleep(0)
 
     def _count_answer(self, host: RunningProcess, answer: CallerAnswer) -> None:
-        if answer.status == 200 and answer.is_whole_stream:
+        if answer.status == 200 and answer.is_complete_stream:
             self.n_whole += 1
             return
         error = json.loads(answer.body).get("error", {}) if answer.status != 200 else {}
@@ -128,7 +128,7 @@
             self.assertEqual(refused.headers.get("Connection"), "close")
             host.send_signal(signal.SIGTERM)
             answers = await asyncio.gather(*streams)
-            self.assertTrue(all(answer.is_whole_stream for answer in answers))
+            self.assertTrue(all(answer.is_complete_stream for answer in answers))
             self.assertEqual(await wait_for_exit(fleet, host), 0)
             await wait_until_settled(fleet, other)
 
@@ -172,7 +172,7 @@
         async with Fleet(host_settings=settings) as fleet:
             host, other = fleet.hosts[:2]
             answer = await fleet.chat(host, max_tokens=8, stream=True)
-            self.assertTrue(answer.is_whole_stream)
+            self.assertTrue(answer.is_complete_stream)
             control = f"{fleet.log.url}/control"
             await fleet.launcher.post_json(control, {"down": True})
             host.send_signal(signal.SIGTERM)
@@ -190,7 +190,8 @@
             await poll_until(is_released, "the draws to be released")
             budget = await fleet.get_budget(other)
             self.assertGreaterEqual(
-                budget["spent"] + budget["doubtful"], await fleet.count_executed()
+                budget["spent"] + budget["doubtful"],
+                await fleet.count_executed_tokens(),
             )
 
 
--- a/tests/kept_lines.py
+++ b/tests/saved_output.py
@@ -8,7 +8,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def keep_lines(lines_by_name: Mapping[str, Sequence[str]]) -> None:
+def save_process_output(lines_by_name: Mapping[str, Sequence[str]]) -> None:
     """Write each process's lines to a file in a new folder for debugging."""
     folder = ROOT / "results" / f"failed-{uuid.uuid4().hex[:8]}"
     folder.mkdir(parents=True)
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -11,7 +11,7 @@
 
 from pydantic import BaseModel
 
-from tests.common import ROOT, read_table
+from tests.common import ROOT, read_first_column
 from tests.test_cli import SUBCOMMANDS
 from trefoilstage.components.peers.messages import PeerMessage
 from trefoilstage.configuration.merge import merge_files
@@ -100,8 +100,8 @@
                 self.assertEqual(merge_files(files).findings, (), item)
 
     def test_keys_of_the_examples_are_documented(self) -> None:
-        documented = set(read_table("OPERATING.md", "Configuration"))
-        settings = set(read_table("OPERATING.md", "Settings of a host"))
+        documented = set(read_first_column("OPERATING.md", "Configuration"))
+        settings = set(read_first_column("OPERATING.md", "Settings of a host"))
         for path in EXAMPLES:
             for item in path.glob("config/*.toml"):
                 used = set(list_keys(tomllib.loads(item.read_text())))
@@ -124,7 +124,7 @@
             },
         }
         for heading, names in lists.items():
-            documented = read_table("OPERATING.md", heading)
+            documented = read_first_column("OPERATING.md", heading)
             with self.subTest(heading):
                 self.assertEqual(names, set(documented))
                 self.assertEqual(len(documented), len(set(documented)))
@@ -136,7 +136,7 @@
             "Messages between hosts": list_kinds(PeerMessage),
         }
         for heading, kinds in lists.items():
-            documented = set(read_table("PROTOCOL.md", heading))
+            documented = set(read_first_column("PROTOCOL.md", heading))
             with self.subTest(heading):
                 self.assertEqual(kinds, documented)
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from standins.launcher import poll_until
-from tests.common import OTHER_SECRET, ROOT, SECRET, Fleet, read_table
+from tests.common import OTHER_SECRET, ROOT, SECRET, Fleet, read_first_column
 
 ONE_HOST_OPTIONS: dict[str, Any] = {"n_hosts": 1}
 
@@ -117,7 +117,9 @@
         sent = set(re.findall(r"(?m)^trefoilstage\.host-0\.([a-z_.]+):", seen))
         sampled = {name for name in sent if not name.startswith("events.")}
         self.assertLessEqual(set(names) - {"events.request_done"}, sampled)
-        self.assertEqual(sampled - set(read_table("OPERATING.md", "Metrics")), set())
+        self.assertEqual(
+            sampled - set(read_first_column("OPERATING.md", "Metrics")), set()
+        )
 
 
 class LinesTest(unittest.TestCase):
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -14,8 +14,8 @@
         async with Fleet() as fleet:
             answer = await fleet.chat(fleet.hosts[1], max_tokens=12, stream=True)
             self.assertEqual(answer.status, 200, answer.body)
-            self.assertTrue(answer.is_whole_stream)
-            executed = await fleet.count_executed()
+            self.assertTrue(answer.is_complete_stream)
+            executed = await fleet.count_executed_tokens()
 
             async def is_settled() -> bool:
                 budgets = [await fleet.get_budget(host) for host in fleet.hosts]
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -19,7 +19,7 @@
         used_streams = {hash_to_bucket(account, N_STREAMS) for account in accounts}
         self.assertGreater(len(used_streams), 1, "all accounts are on the same stream")
         settings = {"checkpoint_every": 20}
-        async with Fleet(more_config=FLEET_CONFIG, host_settings=settings) as fleet:
+        async with Fleet(extra_config=FLEET_CONFIG, host_settings=settings) as fleet:
             answers = await asyncio.gather(
                 *(
                     fleet.chat(host, max_tokens=8, stream=True, secret=secret)
@@ -27,7 +27,7 @@
                     for secret in (SECRET, OTHER_SECRET)
                 )
             )
-            self.assertTrue(all(answer.is_whole_stream for answer in answers))
+            self.assertTrue(all(answer.is_complete_stream for answer in answers))
             headers = {"Idempotency-Key": "strip-7"}
             for host in fleet.hosts:
                 answer = await fleet.call(
@@ -35,7 +35,7 @@
                 )
                 self.assertEqual(answer.status, 200, answer.body)
             self.assertEqual(len(await fleet.list_effects()), 1)
-            executed = await fleet.count_executed()
+            executed = await fleet.count_executed_tokens()
             new_host = await fleet.start_host("host-3")
 
             async def is_settled() -> bool:
