--- a/standins/launcher.py
+++ b/standins/launcher.py
@@ -91,9 +91,9 @@
         path = Path(self._folder.name) / f"{name}.toml"
         lines = [f"{key} = {format_toml(value)}" for key, value in settings.items()]
         path.write_text("\n".join(lines) + "\n")
-        running = await self._start(name, "trefoilstage", "--settings", str(path))
-        running.address = str(extra.get("address", LOOPBACK))
-        return running
+        host = await self._start(name, "trefoilstage", "--settings", str(path))
+        host.address = str(extra.get("address", LOOPBACK))
+        return host
 
     async def _start(self, name: str, module: str, *options: str) -> RunningProcess:
         process = await asyncio.create_subprocess_exec(
@@ -104,33 +104,33 @@
             stderr=asyncio.subprocess.PIPE,
             env={**os.environ, "PYTHONUNBUFFERED": "1"},
         )
-        running = RunningProcess(name=name, process=process)
-        running.reader = asyncio.create_task(read_lines(running))
-        self.processes[name] = running
+        running_process = RunningProcess(name=name, process=process)
+        running_process.reader = asyncio.create_task(read_lines(running_process))
+        self.processes[name] = running_process
         await poll_until(
-            lambda: bool(running.ports) or process.returncode is not None,
+            lambda: bool(running_process.ports) or process.returncode is not None,
             f"{name} to listen",
         )
-        if not running.ports:
-            await running.reader
-            last_lines = "\n".join(running.lines[-N_LAST_LINES:])
+        if not running_process.ports:
+            await running_process.reader
+            last_lines = "\n".join(running_process.lines[-N_LAST_LINES:])
             raise LaunchError(f"{name} exited during startup:\n{last_lines}")
-        return running
+        return running_process
 
     async def kill(self, name: str) -> None:
         """Kill a process with SIGKILL and wait until it has exited."""
-        running = self.processes.pop(name)
+        running_process = self.processes.pop(name)
         with contextlib.suppress(ProcessLookupError):
-            running.process.kill()
-        await running.process.wait()
-        if running.reader is not None:
-            await running.reader
+            running_process.process.kill()
+        await running_process.process.wait()
+        if running_process.reader is not None:
+            await running_process.reader
 
     async def stop(self, name: str, timeout_s: float = STOP_TIMEOUT_S) -> int:
         """Terminate a process with SIGTERM and return its exit code."""
-        running = self.processes[name]
-        running.process.terminate()
-        code = await asyncio.wait_for(running.process.wait(), timeout_s)
+        running_process = self.processes[name]
+        running_process.process.terminate()
+        code = await asyncio.wait_for(running_process.process.wait(), timeout_s)
         del self.processes[name]
         return code
 
@@ -145,16 +145,16 @@
             return await response.json()
 
 
-async def read_lines(running: RunningProcess) -> None:
+async def read_lines(running_process: RunningProcess) -> None:
     """Collect a process's stderr lines, and the ports from the first that has any."""
-    stream = running.process.stderr
+    stream = running_process.process.stderr
     if stream is None:
         return
     async for raw in stream:
         line = raw.decode(errors="replace").rstrip()
-        running.lines.append(line)
-        if not running.ports and "port=" in line:
-            running.ports.update(parse_ports(line))
+        running_process.lines.append(line)
+        if not running_process.ports and "port=" in line:
+            running_process.ports.update(parse_ports(line))
 
 
 def parse_ports(line: str) -> dict[str, int]:
--- a/tests/common.py
+++ b/tests/common.py
@@ -316,9 +316,9 @@
             method=method,
         )
 
-    async def control_standin(self, running: RunningProcess, **orders: object) -> None:
+    async def control_standin(self, standin: RunningProcess, **orders: object) -> None:
         """Set a stand-in's speed and faults; settings that are not named are reset."""
-        answer = await self.launcher.post_json(f"{running.url}/control", orders)
+        answer = await self.launcher.post_json(f"{standin.url}/control", orders)
         assert answer == {"ok": True}, answer
 
     async def get_intent(self, host: RunningProcess, key: str) -> dict[str, Any] | None:
--- a/tests/promises/test_shutdown.py
+++ b/tests/promises/test_shutdown.py
@@ -217,8 +217,8 @@
                 )
             )
             await poll_until(lambda: "host-9" in launcher.processes, "the start")
-            running = launcher.processes["host-9"]
-            code = await asyncio.wait_for(running.process.wait(), EXIT_TIMEOUT_S)
+            host = launcher.processes["host-9"]
+            code = await asyncio.wait_for(host.process.wait(), EXIT_TIMEOUT_S)
             start.cancel()
             self.assertEqual(code, 1)
-            self.assertIn("address already in use", " ".join(running.lines))
+            self.assertIn("address already in use", " ".join(host.lines))
--- a/trefoilstage/fleet_board.py
+++ b/trefoilstage/fleet_board.py
@@ -42,7 +42,7 @@
         return now - self.last_answer if self.out_of_reach else 0.0
 
     def record_response(self, now: float) -> None:
-        """Record that the store answered a call."""
+        """Record that the store responded to a call."""
         if self.out_of_reach:
             self.out_of_reach = False
             self.back_at = now
