--- a/standins/launcher.py
+++ b/standins/launcher.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(kw_only=True, slots=True, eq=False)
-class Running:
+class RunningProcess:
     """Describe a started process, its ports and the lines that it wrote."""
 
     name: str
@@ -50,7 +50,7 @@
         """Return the URL of a host's operator interface."""
         return f"http://{self.address}:{self.ports['operator_port']}"
 
-    def signal(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send a signal to this process only."""
         self.process.send_signal(number)
 
@@ -59,7 +59,7 @@
     """Start the processes of one fleet, and kill those that still run at exit."""
 
     def __init__(self) -> None:
-        self.running: dict[str, Running] = {}
+        self.processes: dict[str, RunningProcess] = {}
         self._folder = tempfile.TemporaryDirectory()
         self.session: aiohttp.ClientSession
 
@@ -68,17 +68,19 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        await asyncio.gather(*(self.kill(name) for name in list(self.running)))
+        await asyncio.gather(*(self.kill(name) for name in list(self.processes)))
         await self.session.close()
         self._folder.cleanup()
 
-    async def start_standin(self, name: str, kind: str, *options: str) -> Running:
+    async def start_standin(
+        self, name: str, kind: str, *options: str
+    ) -> RunningProcess:
         """Start a stand-in and wait until it has printed its port."""
         return await self._start(name, "standins", kind, *options)
 
     async def start_host(
         self, name: str, data_center: str, *, log_url: str, **extra: object
-    ) -> Running:
+    ) -> RunningProcess:
         """Start a host and wait until it has printed its ports."""
         settings = {
             "host": name,
@@ -89,11 +91,11 @@
         path = Path(self._folder.name) / f"{name}.toml"
         lines = [f"{key} = {format_toml(value)}" for key, value in settings.items()]
         path.write_text("\n".join(lines) + "\n")
-        running = await self._start(name, "trefoilstage", "--settings", str(path))
-        running.address = str(extra.get("address", LOOPBACK))
-        return running
+        host = await self._start(name, "trefoilstage", "--settings", str(path))
+        host.address = str(extra.get("address", LOOPBACK))
+        return host
 
-    async def _start(self, name: str, module: str, *options: str) -> Running:
+    async def _start(self, name: str, module: str, *options: str) -> RunningProcess:
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -102,34 +104,34 @@
             stderr=asyncio.subprocess.PIPE,
             env={**os.environ, "PYTHONUNBUFFERED": "1"},
         )
-        running = Running(name=name, process=process)
-        running.reader = asyncio.create_task(read_lines(running))
-        self.running[name] = running
-        await wait_for(
-            lambda: bool(running.ports) or process.returncode is not None,
+        running_process = RunningProcess(name=name, process=process)
+        running_process.reader = asyncio.create_task(read_lines(running_process))
+        self.processes[name] = running_process
+        await poll_until(
+            lambda: bool(running_process.ports) or process.returncode is not None,
             f"{name} to listen",
         )
-        if not running.ports:
-            await running.reader
-            last_lines = "\n".join(running.lines[-N_LAST_LINES:])
+        if not running_process.ports:
+            await running_process.reader
+            last_lines = "\n".join(running_process.lines[-N_LAST_LINES:])
             raise LaunchError(f"{name} exited during startup:\n{last_lines}")
-        return running
+        return running_process
 
     async def kill(self, name: str) -> None:
         """Kill a process with SIGKILL and wait until it has exited."""
-        running = self.running.pop(name)
+        running_process = self.processes.pop(name)
         with contextlib.suppress(ProcessLookupError):
-            running.process.kill()
-        await running.process.wait()
-        if running.reader is not None:
-            await running.reader
+            running_process.process.kill()
+        await running_process.process.wait()
+        if running_process.reader is not None:
+            await running_process.reader
 
     async def stop(self, name: str, timeout_s: float = STOP_TIMEOUT_S) -> int:
         """Terminate a process with SIGTERM and return its exit code."""
-        running = self.running[name]
-        running.process.terminate()
-        code = await asyncio.wait_for(running.process.wait(), timeout_s)
-        del self.running[name]
+        running_process = self.processes[name]
+        running_process.process.terminate()
+        code = await asyncio.wait_for(running_process.process.wait(), timeout_s)
+        del self.processes[name]
         return code
 
     async def get_json(self, url: str) -> Any:
@@ -143,16 +145,16 @@
             return await response.json()
 
 
-async def read_lines(running: Running) -> None:
+async def read_lines(running_process: RunningProcess) -> None:
     """Collect a process's stderr lines, and the ports from the first that has any."""
-    stream = running.process.stderr
+    stream = running_process.process.stderr
     if stream is None:
         return
     async for raw in stream:
         line = raw.decode(errors="replace").rstrip()
-        running.lines.append(line)
-        if not running.ports and "port=" in line:
-            running.ports.update(parse_ports(line))
+        running_process.lines.append(line)
+        if not running_process.ports and "port=" in line:
+            running_process.ports.update(parse_ports(line))
 
 
 def parse_ports(line: str) -> dict[str, int]:
@@ -168,7 +170,7 @@
     return str(value) if isinstance(value, int | float) else f'"{value}"'
 
 
-async def wait_for(
+async def poll_until(
     condition: Any, description: str, timeout_s: float = CONDITION_TIMEOUT_S
 ) -> None:
     """Wait until a condition is true; it may be a coroutine function.
--- a/tests/common.py
+++ b/tests/common.py
@@ -10,10 +10,10 @@
 
 from pydantic import TypeAdapter
 
-from standins.launcher import Launcher, LaunchError, Running, wait_for
+from standins.launcher import Launcher, LaunchError, RunningProcess, poll_until
 from standins.proxy import FaultProxy
 from tests.answers import CallerAnswer
-from tests.kept_lines import keep_lines
+from tests.saved_output import save_process_output
 from trefoilstage.components.log_client.checkpoints import (
     PackedState,
     compress_state,
@@ -70,13 +70,13 @@
     engine_options: tuple[str, ...] = ()
     log_options: tuple[str, ...] = ()
     launcher: Launcher = field(default_factory=Launcher)
-    log: Running = field(init=False)
-    service: Running = field(init=False)
-    engines: list[Running] = field(default_factory=list)
-    hosts: list[Running] = field(default_factory=list)
+    log: RunningProcess = field(init=False)
+    service: RunningProcess = field(init=False)
+    engines: list[RunningProcess] = field(default_factory=list)
+    hosts: list[RunningProcess] = field(default_factory=list)
     proxies: dict[str, FaultProxy] = field(default_factory=dict)
     data_centers: tuple[str, ...] = ("brest",)
-    more_config: str = ""
+    extra_config: str = ""
 
     async def __aenter__(self) -> Self:
         # unittest enables the event loop's debug mode, which records a stack for each
@@ -88,17 +88,19 @@
         try:
             await self._start()
         except BaseException:
-            self._keep_lines()
+            self._save_process_output()
             await self.launcher.__aexit__()
             raise
         return self
 
-    def _keep_lines(self) -> None:
-        keep_lines({item.name: item.lines for item in self.launcher.running.values()})
+    def _save_process_output(self) -> None:
+        save_process_output(
+            {item.name: item.lines for item in self.launcher.processes.values()}
+        )
 
     async def __aexit__(self, kind: type[BaseException] | None, *_: object) -> None:
         if kind is not None:
-            self._keep_lines()
+            self._save_process_output()
         for proxy in self.proxies.values():
             await proxy.stop()
         await self.launcher.__aexit__()
@@ -126,11 +128,11 @@
                 [self.proxies["service"].url],
                 tokens=self.tokens,
             )
-            + self.more_config,
+            + self.extra_config,
         )
-        await wait_for(self.is_ready, "the fleet to be ready")
+        await poll_until(self.is_ready, "the fleet to be ready")
 
-    async def start_host(self, name: str) -> Running:
+    async def start_host(self, name: str) -> RunningProcess:
         """Start one more host behind a proxy, with its own source address."""
         number = int(name.rsplit("-", 1)[1])
         proxy = await self._add_proxy(name, 0)
@@ -152,12 +154,14 @@
         self.proxies[name] = proxy
         return proxy
 
-    def cut(self, sources: list[Running], names: list[str]) -> None:
+    def cut(self, sources: list[RunningProcess], names: list[str]) -> None:
         """Block all traffic of hosts through the named proxies, both ways."""
         for name in names:
             self.proxies[name].cut(*(get_address(host.name) for host in sources))
 
-    def cut_apart(self, side: list[Running], other: list[Running]) -> None:
+    def cut_network_between(
+        self, side: list[RunningProcess], other: list[RunningProcess]
+    ) -> None:
         """Block all traffic between two groups of hosts."""
         self.cut(side, [host.name for host in other])
         self.cut(other, [host.name for host in side])
@@ -187,13 +191,15 @@
                 return False
         return True
 
-    async def get_budget(self, host: Running, name: str = "brest") -> dict[str, Any]:
+    async def get_budget(
+        self, host: RunningProcess, name: str = "brest"
+    ) -> dict[str, Any]:
         """Return a budget as a host's operator API reports it."""
         budgets = await self.launcher.get_json(f"{host.operator_url}/budgets")
         return next(item for item in budgets if item["name"] == name)
 
-    async def list_executed(
-        self, engine: Running | None = None
+    async def list_executed_requests(
+        self, engine: RunningProcess | None = None
     ) -> list[dict[str, Any]]:
         """Return the requests on the meter of one engine, or of all engines."""
         meters = [
@@ -203,7 +209,11 @@
         return [request for meter in meters for request in meter["requests"]]
 
     async def wait_for_spend(
-        self, tokens: int, *, name: str = "brest", hosts: list[Running] | None = None
+        self,
+        tokens: int,
+        *,
+        name: str = "brest",
+        hosts: list[RunningProcess] | None = None,
     ) -> None:
         """Wait until hosts report a number of tokens as spent from a budget."""
         shown: list[int] = []
@@ -216,16 +226,16 @@
             return all(spent == tokens for spent in shown)
 
         try:
-            await wait_for(is_shown, f"{name} to show {tokens} spent", 15.0)
+            await poll_until(is_shown, f"{name} to show {tokens} spent", 15.0)
         except LaunchError as error:
             raise AssertionError(f"spent {shown}, expected {tokens}") from error
 
-    async def get_pool(self, host: Running, account: str) -> Any:
+    async def get_pool(self, host: RunningProcess, account: str) -> Any:
         """Return a host's state of its draws on an account, if it has any."""
         state = await self.launcher.get_json(f"{host.operator_url}/state")
         return state["BudgetController"]["pools"].get(account)
 
-    async def count_executed(self) -> int:
+    async def count_executed_tokens(self) -> int:
         """Return the number of tokens on the meters of all engines."""
         meters = [
             await self.launcher.get_json(f"{engine.url}/meter")
@@ -233,17 +243,19 @@
         ]
         return sum(meter["tokens"] for meter in meters)
 
-    async def get_ledger(self, host: Running) -> dict[str, Any]:
+    async def get_ledger(self, host: RunningProcess) -> dict[str, Any]:
         """Return a host's folded state of the first ledger stream."""
         state = await self.launcher.get_json(f"{host.operator_url}/state")
         return dict(state["blackboard"]["ledgers"]["0"])
 
-    async def list_executed_at(self, engine: Running) -> list[dict[str, Any]]:
+    async def list_engine_requests(
+        self, engine: RunningProcess
+    ) -> list[dict[str, Any]]:
         """Return the requests on an engine's meter."""
         meter = await self.launcher.get_json(f"{engine.url}/meter")
         return list(meter["requests"])
 
-    async def list_power(self) -> list[tuple[float, int]]:
+    async def list_power_changes(self) -> list[tuple[float, int]]:
         """Return the changes of the engines' total watts as (time, new total)."""
         changes: list[tuple[float, int]] = []
         for engine in self.engines:
@@ -266,7 +278,7 @@
 
     async def chat(
         self,
-        host: Running,
+        host: RunningProcess,
         *,
         max_tokens: int = 10,
         stream: bool = False,
@@ -287,7 +299,7 @@
 
     async def book(
         self,
-        host: Running,
+        host: RunningProcess,
         key: str,
         *,
         operation: str = "confirm",
@@ -304,12 +316,12 @@
             method=method,
         )
 
-    async def control(self, running: Running, **orders: object) -> None:
+    async def control_standin(self, standin: RunningProcess, **orders: object) -> None:
         """Set a stand-in's speed and faults; settings that are not named are reset."""
-        answer = await self.launcher.post_json(f"{running.url}/control", orders)
+        answer = await self.launcher.post_json(f"{standin.url}/control", orders)
         assert answer == {"ok": True}, answer
 
-    async def get_intent(self, host: Running, key: str) -> dict[str, Any] | None:
+    async def get_intent(self, host: RunningProcess, key: str) -> dict[str, Any] | None:
         """Return the state of a booking's intent as a host has folded it."""
         state = await self.launcher.get_json(f"{host.operator_url}/state")
         digest = hash_idempotency_key("brest-school", key)
@@ -318,7 +330,7 @@
                 return dict(ledger["intents"][digest])
         return None
 
-    def pick_key(self, home: Running) -> str:
+    def find_key_with_home(self, home: RunningProcess) -> str:
         """Return an idempotency key that has the given host as its home."""
         names = [host.name for host in self.hosts]
         for number in itertools.count():
@@ -330,7 +342,7 @@
 
     async def call(
         self,
-        host: Running,
+        host: RunningProcess,
         path: str,
         body: object,
         *,
@@ -363,7 +375,7 @@
     return asyncio.run(compress_state(dumped))
 
 
-def read_table(page: str, heading: str) -> list[str]:
+def read_first_column(page: str, heading: str) -> list[str]:
     """Return the first column of the table under a heading of a document."""
     text = (ROOT / "docs" / page).read_text()
     section = text.split(f"\n## {heading}\n")[1].split("\n## ")[0]
--- a/tests/components/admission/test_overload.py
+++ b/tests/components/admission/test_overload.py
@@ -5,7 +5,7 @@
 import time
 import unittest
 
-from standins.launcher import wait_for
+from standins.launcher import poll_until
 from tests.answers import CallerAnswer
 from tests.common import Fleet
 
@@ -33,11 +33,13 @@
                 )
                 for _ in range(6)
             ]
-            await wait_for(lambda: self.has_started(fleet, 2), "the target to be full")
+            await poll_until(
+                lambda: self.has_started(fleet, 2), "the target to be full"
+            )
             high = await fleet.chat(host, max_tokens=5)
             answers = await asyncio.gather(*low)
             self.assertEqual({high.status, *(item.status for item in answers)}, {200})
-            executed = await fleet.list_executed_at(fleet.engines[0])
+            executed = await fleet.list_engine_requests(fleet.engines[0])
             order = [item["priority"] for item in executed]
             self.assertIn(5, order[2:4])
 
@@ -54,7 +56,9 @@
             running = [
                 asyncio.create_task(fleet.chat(host, max_tokens=60)) for _ in range(2)
             ]
-            await wait_for(lambda: self.has_started(fleet, 3), "the target to be full")
+            await poll_until(
+                lambda: self.has_started(fleet, 3), "the target to be full"
+            )
             started = time.monotonic()
             answers = await asyncio.gather(*(fleet.chat(host) for _ in range(6)))
             waited_s = time.monotonic() - started
@@ -64,7 +68,7 @@
                 self.check_refused(answer)
             self.assertLess(waited_s, 60.0)
             await asyncio.gather(*running)
-            executed = await fleet.list_executed_at(fleet.engines[0])
+            executed = await fleet.list_engine_requests(fleet.engines[0])
             self.assertEqual(len(executed), 3 + len(answers) - len(refused))
 
     def check_refused(self, answer: CallerAnswer) -> None:
@@ -92,13 +96,13 @@
 
             async def is_used() -> bool:
                 await asyncio.gather(*(fleet.chat(host) for _ in range(4)))
-                return bool(await fleet.list_executed_at(failing_engine))
+                return bool(await fleet.list_engine_requests(failing_engine))
 
-            await wait_for(is_used, "the target to receive requests again")
+            await poll_until(is_used, "the target to receive requests again")
 
     async def has_started(self, fleet: Fleet, n_requests: int) -> bool:
         """Return whether the first engine has started at least this many requests."""
-        executed = await fleet.list_executed_at(fleet.engines[0])
+        executed = await fleet.list_engine_requests(fleet.engines[0])
         return len(executed) >= n_requests
 
     async def test_full_target_refuses_no_caller_that_can_wait(self) -> None:
--- a/tests/promises/test_billing.py
+++ b/tests/promises/test_billing.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from standins.launcher import Running, wait_for
+from standins.launcher import RunningProcess, poll_until
 from tests.answers import CallerAnswer
 from tests.common import Fleet
 
@@ -25,8 +25,10 @@
             )
             self.assertEqual({answer.status for answer in answers}, {200})
             self.assertEqual(len({answer.body for answer in answers}), 1)
-            self.assertEqual(len(await fleet.list_executed()), 1)
-            await self._check_bill(fleet, fleet.hosts, await fleet.count_executed())
+            self.assertEqual(len(await fleet.list_executed_requests()), 1)
+            await self._check_bill(
+                fleet, fleet.hosts, await fleet.count_executed_tokens()
+            )
 
     async def test_same_key_on_both_sides_of_a_cut(self) -> None:
         """Partition one host from the others and send the key on both sides.
@@ -35,13 +37,13 @@
         fold bills the more expensive run and credits the other.
         """
         async with Fleet() as fleet:
-            fleet.cut_apart(fleet.hosts[:1], fleet.hosts[1:])
+            fleet.cut_network_between(fleet.hosts[:1], fleet.hosts[1:])
             answers = await asyncio.gather(
                 *(self._retry_until_answered(fleet, host) for host in fleet.hosts)
             )
             fleet.heal()
             tokens = answers[0].json["usage"]["total_tokens"]
-            executed = await fleet.list_executed()
+            executed = await fleet.list_executed_requests()
             self.assertEqual([run["state"] for run in executed], ["finished"] * 2)
             await self._check_bill(fleet, fleet.hosts, tokens)
 
@@ -52,14 +54,14 @@
         same key.
         """
         async with Fleet() as fleet:
-            key = {"Idempotency-Key": fleet.pick_key(fleet.hosts[2])}
+            key = {"Idempotency-Key": fleet.find_key_with_home(fleet.hosts[2])}
             first = await fleet.chat(fleet.hosts[0], headers=key)
             tokens = first.json["usage"]["total_tokens"]
             await fleet.wait_for_spend(tokens)
             await fleet.launcher.kill("host-0")
             retry = await fleet.chat(fleet.hosts[1], headers=key)
             self.assertEqual(retry.status, 200, retry.body)
-            self.assertEqual(len(await fleet.list_executed()), 2)
+            self.assertEqual(len(await fleet.list_executed_requests()), 2)
             await self._check_bill(fleet, fleet.hosts[1:], tokens)
 
     async def test_host_killed_mid_answer(self) -> None:
@@ -69,29 +71,29 @@
         by its own host. Both have one key, so the more expensive one is billed.
         """
         async with Fleet() as fleet:
-            await fleet.control(fleet.engines[0], tokens_per_s=20)
+            await fleet.control_standin(fleet.engines[0], tokens_per_s=20)
             first = asyncio.create_task(
                 fleet.chat(fleet.hosts[0], max_tokens=30, headers=KEY_HEADERS)
             )
 
             async def is_running() -> bool:
-                executed = await fleet.list_executed()
+                executed = await fleet.list_executed_requests()
                 return bool(executed and executed[0]["completion_tokens"] > 5)
 
-            await wait_for(is_running, "the engine to run it")
+            await poll_until(is_running, "the engine to run it")
             await fleet.launcher.kill("host-0")
             await asyncio.gather(first, return_exceptions=True)
-            await fleet.control(fleet.engines[0])
+            await fleet.control_standin(fleet.engines[0])
             retry = await self._retry_until_answered(fleet, fleet.hosts[1], 30)
             tokens = retry.json["usage"]["total_tokens"]
-            self.assertEqual(len(await fleet.list_executed()), 2)
+            self.assertEqual(len(await fleet.list_executed_requests()), 2)
 
             async def is_recovered() -> bool:
                 ledger = await fleet.get_ledger(fleet.hosts[1])
                 holders = [draw["holder"] for draw in ledger["draws"].values()]
                 return not any(holder.startswith("host-0-") for holder in holders)
 
-            await wait_for(is_recovered, "the lost host's draw to be closed")
+            await poll_until(is_recovered, "the lost host's draw to be closed")
             await self._check_bill(fleet, fleet.hosts[1:], tokens)
 
     async def test_retry_after_the_answer_is_forgotten(self) -> None:
@@ -108,12 +110,12 @@
                 retry = await fleet.chat(fleet.hosts[1], headers=KEY_HEADERS)
                 return bool(retry.json["id"] != first.json["id"])
 
-            await wait_for(is_run_again, "the answer to expire")
-            self.assertGreaterEqual(len(await fleet.list_executed()), 2)
+            await poll_until(is_run_again, "the answer to expire")
+            self.assertGreaterEqual(len(await fleet.list_executed_requests()), 2)
             await self._check_bill(fleet, fleet.hosts, tokens)
 
     async def _check_bill(
-        self, fleet: Fleet, hosts: list[Running], tokens: int
+        self, fleet: Fleet, hosts: list[RunningProcess], tokens: int
     ) -> None:
         """Check what one key was billed, after every host has settled its runs.
 
@@ -127,7 +129,7 @@
         await fleet.wait_for_spend(tokens, hosts=hosts)
 
     async def _retry_until_answered(
-        self, fleet: Fleet, host: Running, max_tokens: int = 10
+        self, fleet: Fleet, host: RunningProcess, max_tokens: int = 10
     ) -> CallerAnswer:
         """Retry while the key is refused; hosts detect a partition with a delay."""
         answers: list[CallerAnswer] = []
@@ -138,5 +140,5 @@
             )
             return answers[-1].status == 200
 
-        await wait_for(is_answered, "an answer")
+        await poll_until(is_answered, "an answer")
         return answers[-1]
--- a/tests/promises/test_refusal.py
+++ b/tests/promises/test_refusal.py
@@ -9,7 +9,7 @@
 from collections.abc import AsyncIterator, Awaitable, Callable
 from dataclasses import dataclass
 
-from standins.launcher import Running, wait_for
+from standins.launcher import RunningProcess, poll_until
 from tests.answers import CallerAnswer
 from tests.common import OTHER_SECRET, SECRET, Fleet
 from trefoilstage.util.hashing import hash_idempotency_key
@@ -130,14 +130,14 @@
                     self.assertEqual(answer.error, (case.reason, "not_run"))
                     self.assertNotIn(SECRET.encode(), answer.body)
             await self._send_garbage(host)
-            self.assertEqual(await fleet.list_executed(), [])
+            self.assertEqual(await fleet.list_executed_requests(), [])
             self.assertEqual(await fleet.list_effects(), [])
             good = await fleet.chat(host, secret=OTHER_SECRET)
             self.assertEqual(good.status, 200, good.body)
             await fleet.wait_for_spend(0)
             await self._check_no_secrets_shown(fleet, host)
 
-    async def _send_garbage(self, host: Running) -> None:
+    async def _send_garbage(self, host: RunningProcess) -> None:
         reader, writer = await asyncio.open_connection(
             host.address, host.ports["caller_port"]
         )
@@ -147,9 +147,9 @@
         self.assertIn(b" 400 ", answer.split(b"\r\n")[0])
         self.assertNotIn(b"Traceback", answer)
 
-    async def _check_no_secrets_shown(self, fleet: Fleet, host: Running) -> None:
-        host.signal(signal.SIGUSR1)
-        await wait_for(
+    async def _check_no_secrets_shown(self, fleet: Fleet, host: RunningProcess) -> None:
+        host.send_signal(signal.SIGUSR1)
+        await poll_until(
             lambda: any(line.startswith('{"') for line in host.lines), "the dump"
         )
         async with fleet.launcher.session.get(f"{host.operator_url}/state") as state:
@@ -173,7 +173,7 @@
                 self.assertEqual(other.error, ("key_reused", "not_run"))
                 same = await fleet.chat(host, headers=headers, stream=True)
                 self.assertEqual(same.text, first.text)
-            self.assertEqual(len(await fleet.list_executed()), 1)
+            self.assertEqual(len(await fleet.list_executed_requests()), 1)
             await fleet.wait_for_spend(first.json["usage"]["total_tokens"])
 
             await fleet.call(
@@ -204,12 +204,12 @@
             await publish_lookups(fleet, "one", [urls[0], "http://127.0.0.1:1"])
             for number in range(4):
                 headers = {KEY_HEADER: f"lookup-{number}"}
-                await fleet.control(fleet.service, lose_answers=1)
+                await fleet.control_standin(fleet.service, lose_answers=1)
                 answer = await fleet.call(
                     host, "/services/two/get", {}, headers=headers
                 )
                 self.assertEqual(answer.status, 200, answer.body)
-                await fleet.control(fleet.service, lose_answers=1)
+                await fleet.control_standin(fleet.service, lose_answers=1)
                 answer = await fleet.call(
                     host, "/services/one/get", {}, headers=headers
                 )
@@ -251,7 +251,7 @@
         return sum(await asyncio.gather(*calls))
 
     async def _is_refused(
-        self, fleet: Fleet, host: Running, key: str, *, books: bool
+        self, fleet: Fleet, host: RunningProcess, key: str, *, books: bool
     ) -> bool:
         key = f"{key}-{host.name}"
         started = time.monotonic()
@@ -266,7 +266,7 @@
         self.assertIn("Retry-After", answer.headers, answer.body)
         if answer.error[1] == "not_run":
             request = answer.json["error"]["request_id"]
-            executed = [run["request"] for run in await fleet.list_executed()]
+            executed = [run["request"] for run in await fleet.list_executed_requests()]
             self.assertNotIn(request or "-", executed)
             effects = [effect["key"] for effect in await fleet.list_effects()]
             digest = hash_idempotency_key("brest-school", key)
@@ -281,13 +281,13 @@
 async def fail_engines(fleet: Fleet) -> None:
     """Let the engines answer every request with status 500 without running it."""
     for engine in fleet.engines:
-        await fleet.control(engine, fail_fast=True)
+        await fleet.control_standin(engine, fail_fast=True)
 
 
 async def fail_engines_midway(fleet: Fleet) -> None:
     """Let the engines process each prompt and then answer with status 500."""
     for engine in fleet.engines:
-        await fleet.control(engine, fail_after_prompt=True)
+        await fleet.control_standin(engine, fail_after_prompt=True)
 
 
 async def cut_engines(fleet: Fleet) -> None:
@@ -298,12 +298,12 @@
 
 async def cut_peers(fleet: Fleet) -> None:
     """Cut the first host from its peers."""
-    fleet.cut_apart(fleet.hosts[:1], fleet.hosts[1:])
+    fleet.cut_network_between(fleet.hosts[:1], fleet.hosts[1:])
 
 
 async def stop_log(fleet: Fleet) -> None:
     """Stop the log and wait until all hosts have noticed."""
-    await fleet.control(fleet.log, down=True)
+    await fleet.control_standin(fleet.log, down=True)
 
     async def is_noticed() -> bool:
         for host in fleet.hosts:
@@ -313,30 +313,30 @@
                 return False
         return True
 
-    await wait_for(is_noticed, "the hosts to detect the outage")
+    await poll_until(is_noticed, "the hosts to detect the outage")
 
 
 async def drain_host(fleet: Fleet) -> None:
     """Start to drain one host, which a slow answer keeps running."""
-    await fleet.control(fleet.engines[0], tokens_per_s=5)
-    await fleet.control(fleet.engines[1], tokens_per_s=5)
-    n_before = len(await fleet.list_executed())
+    await fleet.control_standin(fleet.engines[0], tokens_per_s=5)
+    await fleet.control_standin(fleet.engines[1], tokens_per_s=5)
+    n_before = len(await fleet.list_executed_requests())
     slow = asyncio.create_task(fleet.chat(fleet.hosts[2], max_tokens=100))
     slow.add_done_callback(lambda task: task.cancelled() or task.exception())
 
     async def is_running() -> bool:
-        return len(await fleet.list_executed()) > n_before
+        return len(await fleet.list_executed_requests()) > n_before
 
-    await wait_for(is_running, "the slow answer")
-    fleet.hosts[2].signal(signal.SIGTERM)
+    await poll_until(is_running, "the slow answer")
+    fleet.hosts[2].send_signal(signal.SIGTERM)
 
 
 async def clear_faults(fleet: Fleet) -> None:
     """Remove all faults and wait until all hosts answer."""
     fleet.heal()
-    await fleet.control(fleet.log)
+    await fleet.control_standin(fleet.log)
     for engine in fleet.engines:
-        await fleet.control(engine)
+        await fleet.control_standin(engine)
         if not fleet.proxies[engine.name].is_listening:
             await fleet.proxies[engine.name].start()
 
@@ -350,7 +350,7 @@
 
     # Hosts send nothing to failed engines for some time; without this wait, the next
     # fault would affect no request.
-    await wait_for(is_mended, "all hosts to answer")
+    await poll_until(is_mended, "all hosts to answer")
 
 
 async def publish_lookups(fleet: Fleet, name: str, urls: list[str]) -> None:
@@ -370,7 +370,7 @@
         services = state["blackboard"]["config"]["configuration"]["services"]
         return answer.status == 404 and name in services
 
-    await wait_for(is_known, "the service to be known")
+    await poll_until(is_known, "the service to be known")
 
 
 def make_key() -> str:
@@ -378,7 +378,7 @@
     return f"key-{next(KEY_NUMBERS)}"
 
 
-async def send(fleet: Fleet, host: Running, case: BadRequest) -> CallerAnswer:
+async def send(fleet: Fleet, host: RunningProcess, case: BadRequest) -> CallerAnswer:
     """Send an invalid request and read the whole answer."""
     body = case.body() if callable(case.body) else case.body
     headers = list(case.headers)
--- a/tests/promises/test_settlement.py
+++ b/tests/promises/test_settlement.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from standins.launcher import wait_for
+from standins.launcher import poll_until
 from tests.common import Fleet, pack_state
 from trefoilstage.components.log_client.checkpoints import unpack_state
 from trefoilstage.components.log_client.folds import LEDGER_STATE_ADAPTER
@@ -181,17 +181,21 @@
             log_options=("--retention", str(N_RECORDS_RETAINED)), host_settings=settings
         ) as fleet:
             await self.send_everywhere(fleet, 4)
-            await fleet.control(fleet.log, down=True, retention=N_RECORDS_RETAINED)
+            await fleet.control_standin(
+                fleet.log, down=True, retention=N_RECORDS_RETAINED
+            )
             answers = await self.send_everywhere(fleet, 4)
             self.assertIn(200, answers)
-            await fleet.control(fleet.log, lose_answers=4, retention=N_RECORDS_RETAINED)
+            await fleet.control_standin(
+                fleet.log, lose_answers=4, retention=N_RECORDS_RETAINED
+            )
             while await count_records(fleet) <= 2 * N_RECORDS_RETAINED:
                 await self.send_everywhere(fleet, 2)
-                await wait_for(lambda: is_settled(fleet), "the spend to settle")
+                await poll_until(lambda: is_settled(fleet), "the spend to settle")
             fleet.hosts.append(await fleet.start_host("host-3"))
-            await wait_for(fleet.is_ready, "the new host to be ready")
+            await poll_until(fleet.is_ready, "the new host to be ready")
             await self.send_everywhere(fleet, 1)
-            await wait_for(
+            await poll_until(
                 lambda: is_settled(fleet), "every host to show the same spend"
             )
 
@@ -209,7 +213,7 @@
 
 async def is_settled(fleet: Fleet) -> bool:
     """Return whether every host shows exactly the executed tokens as spent."""
-    executed = await fleet.count_executed()
+    executed = await fleet.count_executed_tokens()
     budgets = [await fleet.get_budget(host) for host in fleet.hosts]
     return all(budget["spent"] == executed for budget in budgets)
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -9,8 +9,8 @@
 import unittest
 from typing import Any
 
-from standins.launcher import wait_for
-from tests.common import OTHER_SECRET, ROOT, SECRET, Fleet, read_table
+from standins.launcher import poll_until
+from tests.common import OTHER_SECRET, ROOT, SECRET, Fleet, read_first_column
 
 ONE_HOST_OPTIONS: dict[str, Any] = {"n_hosts": 1}
 
@@ -75,8 +75,8 @@
                 host, "/services/booking/confirm", {"strip": text}, headers=headers
             )
             dump = await fleet.launcher.get_json(f"{host.operator_url}/state")
-            host.signal(signal.SIGUSR1)
-            await wait_for(
+            host.send_signal(signal.SIGUSR1)
+            await poll_until(
                 lambda: any(line.startswith("{") for line in host.lines),
                 "the state dump",
             )
@@ -117,7 +117,9 @@
         sent = set(re.findall(r"(?m)^trefoilstage\.host-0\.([a-z_.]+):", seen))
         sampled = {name for name in sent if not name.startswith("events.")}
         self.assertLessEqual(set(names) - {"events.request_done"}, sampled)
-        self.assertEqual(sampled - set(read_table("OPERATING.md", "Metrics")), set())
+        self.assertEqual(
+            sampled - set(read_first_column("OPERATING.md", "Metrics")), set()
+        )
 
 
 class LogLinesTest(unittest.TestCase):
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -3,7 +3,7 @@
 import json
 import unittest
 
-from standins.launcher import wait_for
+from standins.launcher import poll_until
 from tests.common import Fleet
 
 
@@ -14,14 +14,14 @@
         async with Fleet() as fleet:
             answer = await fleet.chat(fleet.hosts[1], max_tokens=12, stream=True)
             self.assertEqual(answer.status, 200, answer.body)
-            self.assertTrue(answer.is_whole_stream)
-            executed = await fleet.count_executed()
+            self.assertTrue(answer.is_complete_stream)
+            executed = await fleet.count_executed_tokens()
 
             async def is_settled() -> bool:
                 budgets = [await fleet.get_budget(host) for host in fleet.hosts]
                 return all(budget["spent"] == executed for budget in budgets)
 
-            await wait_for(is_settled, "the spend to show on every host")
+            await poll_until(is_settled, "the spend to show on every host")
 
     async def test_booking_takes_effect_once_and_is_replayed(self) -> None:
         async with Fleet() as fleet:
--- a/trefoilstage/const.py
+++ b/trefoilstage/const.py
@@ -14,7 +14,7 @@
 NO_OFFSET: Final = -1
 
 # With more peers than this, a host sends heartbeats only to some of them.
-MAX_FULL_MESH: Final = 8
+MAX_FULL_MESH_PEERS: Final = 8
 
 MAX_RECORD_BYTES: Final = 1_000_000
 MAX_PEER_MESSAGE_BYTES: Final = 4_000_000
